--- a/src/placement/ClusterModel.cpp
+++ b/src/placement/ClusterModel.cpp
@@ -31,7 +31,7 @@
   }
   mOwnWorkers.resize(accounts);
   mUsed.resize(accounts);
-  mShare.resize(accounts);
+  mDominantShare.resize(accounts);
   ReadWorkers(aSnapshot, aState);
 }
 
@@ -41,7 +41,8 @@
   const auto count = aSnapshot.mWorkers.size();
   mWorkerIndex.reserve(count);
   mCapacity.reserve(count);
-  // Bad jobs of one account could put every worker into quarantine, so at most half of them are.
+  // Failing jobs of one account could get every worker quarantined, so at most half of the workers
+  // are treated as quarantined.
   std::size_t quarantineLeft = count / 2;
   for (std::size_t i = 0; i < count; ++i) {
     const auto& worker = aSnapshot.mWorkers[i];
@@ -59,12 +60,12 @@
     }
   }
   mFree = mCapacity;
-  mUnlent = mCapacity;
-  mUnpinned = mCapacity;
-  mComing.resize(count);
+  mUnassignedLeft = mCapacity;
+  mPinnableLimit = mCapacity;
+  mReleasing.resize(count);
   mHeld.resize(count);
   mGuaranteedUse.resize(count);
-  mFixedUse.resize(count);
+  mNonReclaimableUse.resize(count);
   mShares.resize(count);
   mLeases.resize(count);
 }
@@ -87,10 +88,11 @@
       }
       const auto count = static_cast<int>(copy.mGuarantee.mAcceleratorsPerWorker.Value());
       const auto all = share->mAssigned[ResourceVector::kAccelerators] + count;
-      // Recomputed from the sum, because rounding down each copy would lose resources.
-      const auto amount = placement::ShareOf(mCapacity[*worker], all);
-      mUnlent[*worker] -= amount - share->mAssigned;
-      mUnpinned[*worker] -= amount - share->mAssigned;
+      // Computed from the sum of the accelerators, because rounding down the part of each copy
+      // would lose resources.
+      const auto amount = placement::ProportionalShare(mCapacity[*worker], all);
+      mUnassignedLeft[*worker] -= amount - share->mAssigned;
+      mPinnableLimit[*worker] -= amount - share->mAssigned;
       share->mAssigned = amount;
     }
   }
@@ -118,7 +120,7 @@
 void
 ClusterModel::AddLease(int aWorker, const LeaseView& aLease)
 {
-  HeldLease held{ &aLease, -1, ResourceVector(aLease.mResources), false, false };
+  ActiveLease held{ &aLease, -1, ResourceVector(aLease.mResources), false, false };
   const auto account = FindAccount(aLease.mAccount);
   auto* share = account ? FindShare(aWorker, *account) : nullptr;
   if (share && aLease.mClass == CapacityClass::Guaranteed &&
@@ -127,21 +129,21 @@
     share->mUsed += held.mResources;
     mGuaranteedUse[aWorker] += held.mResources;
   } else {
-    mUnlent[aWorker] -= held.mResources;
+    mUnassignedLeft[aWorker] -= held.mResources;
   }
   const bool isReclaimable =
     aLease.mIdempotent && (aLease.mReclaimable || aLease.mClass == CapacityClass::Guaranteed);
   if (!held.mGuaranteed && !isReclaimable) {
-    mUnpinned[aWorker] -= held.mResources;
-    mFixedUse[aWorker] += held.mResources;
+    mPinnableLimit[aWorker] -= held.mResources;
+    mNonReclaimableUse[aWorker] += held.mResources;
   }
   mFree[aWorker] -= held.mResources;
   if (account) {
     AddUse(*account, held.mResources);
   }
   if (aLease.mPhase == LeasePhase::Stopping && mUsable[aWorker]) {
-    held.mIsComing = true;
-    mComing[aWorker] += held.mResources;
+    held.mIsReleasing = true;
+    mReleasing[aWorker] += held.mResources;
   }
   mLeases[aWorker].push_back(held);
   AddToBorrower(aWorker, static_cast<int>(mLeases[aWorker].size()) - 1);
@@ -242,13 +244,13 @@
 }
 
 ResourceVector
-ClusterModel::Reclaimable(int aWorker) const
+ClusterModel::FreeAfterReclaim(int aWorker) const
 {
   if (!mUsable[aWorker]) {
     return {};
   }
   return ResourceVector::Positive(mCapacity[aWorker] - mGuaranteedUse[aWorker] -
-                                  mFixedUse[aWorker]);
+                                  mNonReclaimableUse[aWorker]);
 }
 
 void
@@ -267,11 +269,11 @@
 ClusterModel::AddUse(int aAccount, const ResourceVector& aAmount)
 {
   mUsed[aAccount] += aAmount;
-  mShare[aAccount] = ShareWith(aAccount, ResourceVector());
+  mDominantShare[aAccount] = DominantShareWith(aAccount, ResourceVector());
 }
 
 double
-ClusterModel::ShareWith(int aAccount, const ResourceVector& aMore) const
+ClusterModel::DominantShareWith(int aAccount, const ResourceVector& aMore) const
 {
   const auto used = mUsed[aAccount] + aMore;
   double share = 0;
@@ -296,41 +298,41 @@
 ClusterModel::TakeBorrowed(int aWorker, int aAccount, const ResourceVector& aAmount, bool aIsPinned)
 {
   ReduceFree(aWorker, aAmount);
-  mUnlent[aWorker] -= aAmount;
+  mUnassignedLeft[aWorker] -= aAmount;
   if (aIsPinned) {
-    mUnpinned[aWorker] -= aAmount;
-    mFixedUse[aWorker] += aAmount;
+    mPinnableLimit[aWorker] -= aAmount;
+    mNonReclaimableUse[aWorker] += aAmount;
   }
   AddUse(aAccount, aAmount);
 }
 
 void
-ClusterModel::Await(int aWorker, const ResourceVector& aAmount)
+ClusterModel::Earmark(int aWorker, const ResourceVector& aAmount)
 {
   const auto now = ResourceVector::Min(mFree[aWorker], aAmount);
   ReduceFree(aWorker, now);
-  mComing[aWorker] = ResourceVector::Positive(mComing[aWorker] - (aAmount - now));
-  mFixedUse[aWorker] += aAmount;
+  mReleasing[aWorker] = ResourceVector::Positive(mReleasing[aWorker] - (aAmount - now));
+  mNonReclaimableUse[aWorker] += aAmount;
 }
 
 void
 ClusterModel::AwaitGuaranteed(int aWorker, int aAccount, const ResourceVector& aAmount)
 {
-  Await(aWorker, aAmount);
+  Earmark(aWorker, aAmount);
   FindShare(aWorker, aAccount)->mUsed += aAmount;
 }
 
 void
-ClusterModel::ChooseBorrower(int aBorrower)
+ClusterModel::MarkReclaimed(int aBorrower)
 {
   auto& borrower = mBorrowers[aBorrower];
-  borrower.mChosen = true;
+  borrower.mIsStopPlanned = true;
   for (const auto& [worker, position] : borrower.mLeases) {
     auto& held = mLeases[worker][position];
-    if (!held.mIsComing && mUsable[worker]) {
-      mComing[worker] += held.mResources;
+    if (!held.mIsReleasing && mUsable[worker]) {
+      mReleasing[worker] += held.mResources;
     }
-    held.mIsComing = true;
+    held.mIsReleasing = true;
   }
 }
 
@@ -338,7 +340,7 @@
 ClusterModel::Fragmentation() const
 {
   double free = 0;
-  double broken = 0;
+  double fragmented = 0;
   const auto racks = mTopology.Domains(Adjacency::Rack).size();
   for (std::size_t i = 0; i < racks; ++i) {
     const int rack = static_cast<int>(i);
@@ -348,10 +350,10 @@
       static_cast<double>(CapacityIn(Adjacency::Rack, rack, ResourceVector::kAccelerators));
     if (n > 0 && all > 0) {
       free += n;
-      broken += n * (1 - n / all);
+      fragmented += n * (1 - n / all);
     }
   }
-  return free > 0 ? broken / free : 0;
+  return free > 0 ? fragmented / free : 0;
 }
 
 } // namespace lovagerock::placement
--- a/src/placement/ClusterSnapshot.h
+++ b/src/placement/ClusterSnapshot.h
@@ -14,9 +14,9 @@
 enum class WorkerHealth
 {
   Live,
-  // Not heard from in time: no new work, but its leases live on until their TTL.
+  // Has not reported in time: gets no new work; its leases stay valid until their TTL ends.
   Suspected,
-  // About to go away: no new work, and its leases are moved.
+  // Is about to leave the cluster: gets no new work, and its leases are moved to other workers.
   Leaving,
 };
 
@@ -29,14 +29,15 @@
   Ended,
 };
 
-// Whether work stands on capacity that is assigned to its own account.
+// Whether work uses capacity that is assigned to its own client account (Guaranteed) or not
+// (Borrowed).
 enum class CapacityClass
 {
   Guaranteed,
   Borrowed,
 };
 
-// A lease as the planner knows it. Either the job or the service is set.
+// The planner's view of a lease. Either mJob or mService is set, the other is empty.
 struct LeaseView
 {
   LeaseId mLease;
@@ -68,8 +69,9 @@
   std::vector<LeaseView> mLeases;
 };
 
-// mCount copies of mWorkers distinct workers with mAcceleratorsPerWorker each. The workers of a
-// copy are adjacent; with Adjacency::Worker the whole copy is on one worker.
+// Capacity that a client account can always get: mCount copies of mWorkers distinct workers with
+// mAcceleratorsPerWorker each. The workers of a copy are in one domain of level mAdjacency; with
+// Adjacency::Worker the whole copy is on one worker.
 struct Guarantee
 {
   std::string mName;
@@ -86,7 +88,7 @@
 {
   AccountId mAccount;
   double mWeight = 1;
-  // Upper bounds of what the account uses at once; a component of 0 is unlimited.
+  // Upper bound on what the account uses at once; a component of 0 means unlimited.
   Resources mQuota;
   std::vector<Guarantee> mGuarantees;
 };
@@ -118,19 +120,20 @@
   std::vector<WorkerId> mFailedWorkers;
 };
 
-// What counts when a placement is chosen; both are at least 0.
+// Relative weights of the costs of a placement; both are at least 0.
 struct PolicyWeights
 {
   double mCompletionTime = 0.5;
   double mFragmentation = 0.5;
 };
 
-// Everything that a plan depends on besides PlannerState.
+// The input of a plan, together with PlannerState.
 struct ClusterSnapshot
 {
   TimePoint mNow;
-  // Whether every known worker has reported. While it is false, no job is refused as impossible,
-  // because a planner that has just taken over has not heard from all workers.
+  // Whether every known worker has reported. While false, no job is refused with
+  // RefusalReason::CanNeverRun, because a planner that has just taken over may not know all
+  // workers.
   bool mComplete = true;
   std::vector<WorkerView> mWorkers;
   std::vector<AccountView> mAccounts;
--- a/src/placement/GangSearch.cpp
+++ b/src/placement/GangSearch.cpp
@@ -9,10 +9,10 @@
 namespace detail {
 namespace {
 
-// Candidates are sorted into this many cost classes, which takes linear time.
+// Number of buckets into which workers are sorted by cost; a bucket sort takes linear time.
 constexpr int kCostClasses = 64;
 
-// The component by which fragmentation is measured for this need.
+// Returns the component by which fragmentation is measured for this need.
 int
 MainComponent(const GangNeed& aNeed)
 {
@@ -117,7 +117,8 @@
                                        mModel.Capacity(aWorker)[main]);
   const double rackFree = detail::Fraction(mModel.FreeIn(Adjacency::Rack, rack, main),
                                            mModel.CapacityIn(Adjacency::Rack, rack, main));
-  // Work on lent capacity may be reclaimed, and work on a failing worker has to start again.
+  // Work on capacity assigned to an account may be reclaimed, and work on a failing worker may have
+  // to start again.
   const double lent = aNeed.mPerTask.FitsInto(mModel.Unassigned(aWorker)) ? 0 : 1;
   const double failing = std::min(mFailures[aWorker], 2) / 2.0;
   return mWeights.mFragmentation * (left + rackFree) / 2 +
--- a/src/placement/GangSearch.h
+++ b/src/placement/GangSearch.h
@@ -6,7 +6,7 @@
 
 namespace lovagerock::placement {
 
-// What a gang needs.
+// What a gang needs to be placed.
 struct GangNeed
 {
   // Never zero in all components.
@@ -14,34 +14,34 @@
   int mTasks = 1;
   Adjacency mAdjacency = Adjacency::Region;
   int mAccount = -1;
-  // Whether it can't be interrupted.
+  // Whether the gang can't be interrupted, and so never reclaimed.
   bool mIsPinned = false;
-  // Workers on which it failed.
+  // Workers that must not be used, because the job failed on them.
   std::vector<int> mExcluded;
 
   bool Excludes(int aWorker) const;
 };
 
-// The worker of each task; empty if there is none.
+// The worker of each task; empty if no placement was found.
 using Placement = std::vector<int>;
 
-// Finds room for gangs on capacity that is free now.
+// Finds placements for gangs on capacity that is free now.
 class GangSearch
 {
 public:
-  // aFailures counts the failures in a row of each worker.
+  // aFailures has the number of consecutive failures of each worker.
   GangSearch(const ClusterModel& aModel, const PolicyWeights& aWeights, std::vector<int> aFailures);
 
-  // On the account's own assigned capacity.
+  // Searches the capacity that is assigned to the account.
   Placement FindOwn(const GangNeed& aNeed) const;
-  // On any free capacity, with capacity that is assigned to nobody first. Without aMayUseHeld, what
-  // is kept for a reservation is left out.
+  // Searches the capacity that is assigned to no account, then, unless the gang is pinned, all free
+  // capacity. Leaves out what is held for reservations unless aMayUseHeld is set.
   Placement FindFree(const GangNeed& aNeed, bool aMayUseHeld) const;
-  // Only on capacity that is assigned to nobody.
+  // Searches only the capacity that is assigned to no account.
   Placement FindUnassigned(const GangNeed& aNeed, bool aMayUseHeld) const;
-  // Whether it fits into a cluster in which nothing runs.
+  // Returns whether the gang fits into a cluster in which nothing runs.
   bool FitsEmptyCluster(const GangNeed& aNeed) const;
-  // From 0 for the best worker to 1, by the policy weights.
+  // Returns the cost of a task on the worker by the policy weights, from 0 (best) to 1.
   double WorkerCost(int aWorker, const GangNeed& aNeed) const;
 
 private:
--- a/src/placement/GuaranteeAssigner.cpp
+++ b/src/placement/GuaranteeAssigner.cpp
@@ -11,18 +11,19 @@
 namespace {
 
 std::int64_t
-Size(const Guarantee& aGuarantee)
+TotalAccelerators(const Guarantee& aGuarantee)
 {
   return aGuarantee.mAcceleratorsPerWorker.Value() * aGuarantee.mWorkers;
 }
 
-// Decreasing size; among equal sizes the closer adjacency, which has fewer choices, goes first.
+// Orders copies by decreasing size; among equal sizes the closer adjacency, which has fewer
+// choices, goes first.
 bool
 IsPackedBefore(const AssignedCopy& aLeft, const AssignedCopy& aRight)
 {
   const auto key = [](const AssignedCopy& aCopy) {
     const auto& it = aCopy.mGuarantee;
-    return std::tuple(-Size(it), it.mAdjacency, !it.mZone.has_value(),
+    return std::tuple(-TotalAccelerators(it), it.mAdjacency, !it.mZone.has_value(),
                       -it.mAcceleratorsPerWorker.Value());
   };
   const auto left = key(aLeft);
@@ -34,7 +35,7 @@
          std::tie(aRight.mAccount, aRight.mGuarantee.mName, aRight.mCopy);
 }
 
-// The copies that the configuration wants, with the workers they have now.
+// Returns the copies of the configured guarantees, with the workers that they have now.
 std::vector<AssignedCopy>
 WantedCopies(const std::vector<AccountView>& aAccounts, std::vector<AssignedCopy>& aPresent)
 {
@@ -49,7 +50,7 @@
         AssignedCopy copy{ account.mAccount, guarantee, i, {} };
         const auto it = present.find({ account.mAccount, guarantee.mName, i });
         Guarantee shape = it == present.end() ? Guarantee() : it->second->mGuarantee;
-        // A changed count alone doesn't move the other copies.
+        // If only the number of copies has changed, the existing copies keep their workers.
         shape.mCount = guarantee.mCount;
         if (it != present.end() && shape == guarantee) {
           copy.mWorkers = it->second->mWorkers;
@@ -66,7 +67,7 @@
 } // namespace detail
 
 ResourceVector
-ShareOf(const ResourceVector& aCapacity, int aAccelerators)
+ProportionalShare(const ResourceVector& aCapacity, int aAccelerators)
 {
   ResourceVector share;
   const std::int64_t all = aCapacity[ResourceVector::kAccelerators];
@@ -96,10 +97,11 @@
     return std::nullopt;
   }
   const auto& it = missing.front();
-  return UnpackableGuarantee{ it.mAccount, it.mGuarantee, it.mCopy,
-                              "account " + it.mAccount.Value() + ": copy " +
-                                std::to_string(it.mCopy + 1) + " of guarantee " + it.mGuarantee +
-                                " does not fit on the known workers beside the others" };
+  return UnpackableGuarantee{
+    it.mAccount, it.mGuarantee, it.mCopy,
+    "account " + it.mAccount.Value() + ": copy " + std::to_string(it.mCopy + 1) + " of guarantee " +
+      it.mGuarantee + " does not fit on the known workers together with the other guarantees"
+  };
 }
 
 GuaranteeAssigner::GuaranteeAssigner(const std::vector<WorkerView>& aWorkers,
@@ -138,7 +140,7 @@
   auto packed = wanted;
   auto missing = Pack(packed);
   if (!missing.empty()) {
-    // Moving copies that nobody uses disturbs no work and may make room.
+    // Moving copies without guaranteed work stops nothing and may make room.
     auto moved = wanted;
     for (auto& it : moved) {
       if (!IsInUse(it)) {
@@ -166,7 +168,7 @@
   mRemaining = mCapacity;
   std::vector<AssignedCopy*> open;
   for (auto& it : aWanted) {
-    if (it.mWorkers.empty() || !Keep(it)) {
+    if (it.mWorkers.empty() || !KeepWorkers(it)) {
       open.push_back(&it);
     }
   }
@@ -175,14 +177,14 @@
   }
   Copies missing;
   for (auto* it : open) {
-    std::vector<int> survivors;
+    std::vector<int> kept;
     for (const int worker : WorkersOf(*it)) {
-      if (IsKept(*it, worker) &&
+      if (MayStay(*it, worker) &&
           Fits(worker, static_cast<int>(it->mGuarantee.mAcceleratorsPerWorker.Value()))) {
-        survivors.push_back(worker);
+        kept.push_back(worker);
       }
     }
-    if (!Place(*it, survivors) && (survivors.empty() || !Place(*it, {}))) {
+    if (!Place(*it, kept) && (kept.empty() || !Place(*it, {}))) {
       it->mWorkers.clear();
       missing.push_back(*it);
     }
@@ -191,7 +193,7 @@
 }
 
 bool
-GuaranteeAssigner::Keep(const AssignedCopy& aCopy)
+GuaranteeAssigner::KeepWorkers(const AssignedCopy& aCopy)
 {
   const auto workers = WorkersOf(aCopy);
   if (workers.size() != aCopy.mWorkers.size()) {
@@ -200,21 +202,22 @@
   const int each = static_cast<int>(aCopy.mGuarantee.mAcceleratorsPerWorker.Value());
   const bool isOne = aCopy.mGuarantee.mAdjacency == Adjacency::Worker;
   for (const int it : workers) {
-    if (!IsKept(aCopy, it) || !Fits(it, isOne ? each * aCopy.mGuarantee.mWorkers : each)) {
+    if (!MayStay(aCopy, it) || !Fits(it, isOne ? each * aCopy.mGuarantee.mWorkers : each)) {
       return false;
     }
   }
-  Charge(aCopy, workers);
+  Deduct(aCopy, workers);
   return true;
 }
 
 bool
-GuaranteeAssigner::IsKept(const AssignedCopy& aCopy, int aWorker) const
+GuaranteeAssigner::MayStay(const AssignedCopy& aCopy, int aWorker) const
 {
   if (mUsable[aWorker]) {
     return true;
   }
-  // A worker that is silent for a moment keeps the copy while it runs the account's own work.
+  // A suspected or quarantined worker may soon be usable again, so it keeps the copy while it runs
+  // guaranteed work of the account.
   return mWorkers[aWorker].mHealth != WorkerHealth::Leaving &&
          RunsGuaranteed(aCopy.mAccount, aWorker);
 }
@@ -236,16 +239,16 @@
 }
 
 bool
-GuaranteeAssigner::Place(AssignedCopy& aCopy, const std::vector<int>& aSurvivors)
+GuaranteeAssigner::Place(AssignedCopy& aCopy, const std::vector<int>& aKept)
 {
   const auto& guarantee = aCopy.mGuarantee;
   if (guarantee.mAdjacency == Adjacency::Worker) {
     return PlaceOnOneWorker(aCopy);
   }
   const auto& domains = mTopology.Domains(guarantee.mAdjacency);
-  if (!aSurvivors.empty()) {
-    const int domain = mTopology.DomainOf(guarantee.mAdjacency, aSurvivors.front());
-    return PlaceInDomain(aCopy, domains[domain], aSurvivors);
+  if (!aKept.empty()) {
+    const int domain = mTopology.DomainOf(guarantee.mAdjacency, aKept.front());
+    return PlaceInDomain(aCopy, domains[domain], aKept);
   }
   return std::ranges::any_of(
     domains, [&](const auto& aDomain) { return PlaceInDomain(aCopy, aDomain, {}); });
@@ -255,9 +258,9 @@
 GuaranteeAssigner::PlaceOnOneWorker(AssignedCopy& aCopy)
 {
   const auto& guarantee = aCopy.mGuarantee;
-  const auto all = static_cast<int>(detail::Size(guarantee));
-  // The fullest worker first. Among equals one in a zone that no guarantee names, which leaves room
-  // for a copy that is bound to its zone and loses a worker.
+  const auto all = static_cast<int>(detail::TotalAccelerators(guarantee));
+  // The worker with the fewest remaining accelerators is best. Among equals, one in an availability
+  // zone to which no guarantee is bound, which leaves room for a bound copy that loses a worker.
   const auto rank = [&](int aWorker) {
     return std::pair(mRemaining[aWorker][ResourceVector::kAccelerators],
                      mNamedZones.contains(mWorkers[aWorker].mZone));
@@ -275,36 +278,37 @@
   if (best < 0) {
     return false;
   }
-  Charge(aCopy, { best });
+  Deduct(aCopy, { best });
   aCopy.mWorkers.assign(guarantee.mWorkers, mWorkers[best].mWorker);
   return true;
 }
 
 bool
 GuaranteeAssigner::PlaceInDomain(AssignedCopy& aCopy, const std::vector<int>& aDomain,
-                                 const std::vector<int>& aSurvivors)
+                                 const std::vector<int>& aKept)
 {
   const auto& guarantee = aCopy.mGuarantee;
   const int each = static_cast<int>(guarantee.mAcceleratorsPerWorker.Value());
   const auto wanted = static_cast<std::size_t>(guarantee.mWorkers);
   std::vector<int> candidates;
   for (const int it : aDomain) {
-    if (mUsable[it] && Fits(it, each) && std::ranges::find(aSurvivors, it) == aSurvivors.end() &&
+    if (mUsable[it] && Fits(it, each) && std::ranges::find(aKept, it) == aKept.end() &&
         (!guarantee.mZone || *guarantee.mZone == mWorkers[it].mZone)) {
       candidates.push_back(it);
     }
   }
-  if (candidates.size() + aSurvivors.size() < wanted) {
+  if (candidates.size() + aKept.size() < wanted) {
     return false;
   }
-  // The fullest workers first, so that whole workers stay for larger copies.
+  // Workers with the fewest remaining accelerators first, so that whole workers stay free for
+  // larger copies.
   std::ranges::stable_sort(candidates, {}, [&](int aWorker) {
     return mRemaining[aWorker][ResourceVector::kAccelerators];
   });
-  auto workers = aSurvivors;
+  auto workers = aKept;
   workers.insert(workers.end(), candidates.begin(), candidates.end());
   workers.resize(wanted);
-  Charge(aCopy, workers);
+  Deduct(aCopy, workers);
   aCopy.mWorkers.clear();
   for (const int it : workers) {
     aCopy.mWorkers.push_back(mWorkers[it].mWorker);
@@ -313,23 +317,23 @@
 }
 
 void
-GuaranteeAssigner::Charge(const AssignedCopy& aCopy, const std::vector<int>& aWorkers)
+GuaranteeAssigner::Deduct(const AssignedCopy& aCopy, const std::vector<int>& aWorkers)
 {
   const int each = static_cast<int>(aCopy.mGuarantee.mAcceleratorsPerWorker.Value());
   if (aCopy.mGuarantee.mAdjacency == Adjacency::Worker) {
     const int worker = aWorkers.front();
-    mRemaining[worker] -= ShareOf(mCapacity[worker], each * aCopy.mGuarantee.mWorkers);
+    mRemaining[worker] -= ProportionalShare(mCapacity[worker], each * aCopy.mGuarantee.mWorkers);
     return;
   }
   for (const int it : aWorkers) {
-    mRemaining[it] -= ShareOf(mCapacity[it], each);
+    mRemaining[it] -= ProportionalShare(mCapacity[it], each);
   }
 }
 
 bool
 GuaranteeAssigner::Fits(int aWorker, int aAccelerators) const
 {
-  return ShareOf(mCapacity[aWorker], aAccelerators).FitsInto(mRemaining[aWorker]);
+  return ProportionalShare(mCapacity[aWorker], aAccelerators).FitsInto(mRemaining[aWorker]);
 }
 
 std::vector<int>
--- a/src/placement/GuaranteeAssigner.h
+++ b/src/placement/GuaranteeAssigner.h
@@ -14,7 +14,7 @@
 
 namespace lovagerock::placement {
 
-// The first guarantee that does not fit, for the error of an operator's file.
+// The first copy of a guarantee that does not fit; mDetail is the message for the operator.
 struct UnpackableGuarantee
 {
   AccountId mAccount;
@@ -23,17 +23,17 @@
   std::string mDetail;
 };
 
-// The part of a worker that belongs to a number of its accelerators: the same fraction of every
-// other resource, rounded down, so that the parts of one worker never exceed it.
+// Returns the part of a worker that goes with a number of its accelerators: the same fraction of
+// every other resource, rounded down, so that the parts of one worker never exceed it.
 ResourceVector
-ShareOf(const ResourceVector& aCapacity, int aAccelerators);
+ProportionalShare(const ResourceVector& aCapacity, int aAccelerators);
 
-// Whether all copies of all guarantees fit at once on the workers, whatever their health. Gives
-// nothing if they do.
+// Returns the first copy of a guarantee that does not fit on the workers together with all others,
+// regardless of the workers' health and leases; nullopt if all fit.
 std::optional<UnpackableGuarantee>
 CanPackAll(const std::vector<WorkerView>& aWorkers, const std::vector<AccountView>& aAccounts);
 
-// Assigns every copy of every guarantee to concrete workers by first-fit decreasing.
+// Assigns workers to every copy of every guarantee by first-fit decreasing.
 class GuaranteeAssigner
 {
 public:
@@ -41,28 +41,28 @@
   GuaranteeAssigner(const std::vector<WorkerView>& aWorkers, const Topology& aTopology,
                     std::vector<bool> aUsable);
 
-  // Brings the assignment up to date. A copy stays where it is unless one of its workers is lost
-  // and doesn't run guaranteed work of the account; then only the lost workers are replaced if
-  // their rack, zone or region has others. Idle copies move when a copy fits nowhere otherwise.
-  // Returns the copies without capacity.
+  // Updates the assignment. A copy keeps its workers unless one of them is unusable and runs no
+  // guaranteed work of the account, or is leaving; then only such workers are replaced if their
+  // rack, availability zone or region has others. Copies without guaranteed work move if a copy
+  // fits nowhere otherwise. Returns the copies without workers.
   std::vector<UnassignedCopy>
   Assign(const std::vector<AccountView>& aAccounts, std::vector<AssignedCopy>& aAssignment);
 
 private:
   using Copies = std::vector<AssignedCopy>;
 
-  bool IsKept(const AssignedCopy& aCopy, int aWorker) const;
+  bool MayStay(const AssignedCopy& aCopy, int aWorker) const;
   bool RunsGuaranteed(const AccountId& aAccount, int aWorker) const;
   bool IsInUse(const AssignedCopy& aCopy) const;
-  // Places the wanted copies; those with workers are kept if possible. Returns the copies that
-  // didn't fit, which have no workers.
+  // Places the wanted copies; those with workers keep them if possible. Returns the copies that did
+  // not fit, which have no workers then.
   Copies Pack(Copies& aWanted);
-  bool Keep(const AssignedCopy& aCopy);
-  bool Place(AssignedCopy& aCopy, const std::vector<int>& aSurvivors);
+  bool KeepWorkers(const AssignedCopy& aCopy);
+  bool Place(AssignedCopy& aCopy, const std::vector<int>& aKept);
   bool PlaceOnOneWorker(AssignedCopy& aCopy);
   bool PlaceInDomain(AssignedCopy& aCopy, const std::vector<int>& aDomain,
-                     const std::vector<int>& aSurvivors);
-  void Charge(const AssignedCopy& aCopy, const std::vector<int>& aWorkers);
+                     const std::vector<int>& aKept);
+  void Deduct(const AssignedCopy& aCopy, const std::vector<int>& aWorkers);
   bool Fits(int aWorker, int aAccelerators) const;
   std::vector<int> WorkersOf(const AssignedCopy& aCopy) const;
 
@@ -71,10 +71,12 @@
   std::vector<bool> mUsable;
   std::unordered_map<WorkerId, int> mIndex;
   std::vector<ResourceVector> mCapacity;
-  // What neither a copy nor work that can't be interrupted holds.
+  // Capacity that is neither assigned to a copy nor, once the kept copies are placed, used by
+  // pinned work.
   std::vector<ResourceVector> mRemaining;
   // Zones to which a guarantee is bound.
   std::set<ZoneId> mNamedZones;
+  // Use by borrowed work that can't be interrupted.
   std::vector<ResourceVector> mPinned;
 };
 
--- a/src/placement/Plan.h
+++ b/src/placement/Plan.h
@@ -22,17 +22,17 @@
 
 enum class ReclaimReason
 {
-  // The capacity is assigned to the account of the work that needs it.
+  // The capacity is assigned to the account whose work needs it.
   Guarantee,
-  // An urgent job of an account with a lower share needs room.
+  // An urgent job of an account with a lower dominant share needs the capacity.
   Urgent,
-  // It is all that keeps the reservation of a large job from starting.
+  // A large job can start on its reservation once the reclaimed work has stopped.
   Reservation,
   // The worker is leaving.
   WorkerLeaving,
 };
 
-// A whole borrower to stop: all leases of a job, or one service lease.
+// Work to stop: all leases of a job, or one service lease.
 struct Reclaim
 {
   std::vector<LeaseId> mLeases;
@@ -40,7 +40,7 @@
   ServiceId mService;
   AccountId mAccount;
   ReclaimReason mReason = ReclaimReason::Guarantee;
-  // What room is made for; both are empty when the worker is leaving.
+  // The job or service that needs the capacity; both are empty for ReclaimReason::WorkerLeaving.
   JobId mForJob;
   ServiceId mForService;
 };
@@ -63,7 +63,7 @@
   LeaseId mLease;
 };
 
-// Slots of a service that no capacity was found for.
+// The number of slots of a service that have no capacity now.
 struct ServiceShortfall
 {
   ServiceId mService;
@@ -78,7 +78,7 @@
   WaitingForReclaim,
   // Leases of an earlier attempt still hold resources.
   PreviousAttemptEnding,
-  // The configuration in force doesn't contain the account.
+  // The current configuration doesn't contain the account.
   UnknownAccount,
 };
 
@@ -91,7 +91,7 @@
 
 enum class RefusalReason
 {
-  // No worker, rack, zone or region could hold it even if it were empty.
+  // It fits into no worker, rack, availability zone or region (by its adjacency), even an idle one.
   CanNeverRun,
   // It is larger than its account's quota.
   LargerThanQuota,
@@ -99,7 +99,7 @@
   FailedRepeatedly,
 };
 
-// A job that must end without being started again.
+// A job that ends without being started, or started again.
 struct RefusedJob
 {
   JobId mJob;
@@ -107,7 +107,7 @@
   std::string mDetail;
 };
 
-// A copy of a guarantee that has no capacity now.
+// A copy of a guarantee to which no workers can be assigned now.
 struct UnassignedCopy
 {
   AccountId mAccount;
@@ -125,8 +125,8 @@
   std::vector<WaitingJob> mWaiting;
   std::vector<RefusedJob> mRefused;
   std::vector<UnassignedCopy> mUnassigned;
-  // Mean share of a free accelerator's rack that is not free, from 0 (all free accelerators are in
-  // wholly free racks) to 1.
+  // For each free accelerator, the fraction of its rack's accelerators that are not free, averaged
+  // over all free accelerators: from 0 (all are in entirely free racks) to 1.
   double mFragmentation = 0;
 };
 
--- a/src/placement/PlanBuilder.cpp
+++ b/src/placement/PlanBuilder.cpp
@@ -15,7 +15,7 @@
 namespace detail {
 namespace {
 
-constexpr std::size_t kWorkersToFail = 3;
+constexpr std::size_t kFailedWorkersToRefuse = 3;
 
 } // namespace
 } // namespace detail
@@ -39,7 +39,7 @@
 void
 PlanBuilder::FailedNeeds::Add(const GangNeed& aNeed)
 {
-  // With excluded workers the search failed for this job only.
+  // A search with excluded workers says nothing about the needs of other jobs.
   if (aNeed.mExcluded.empty()) {
     mNeeds[static_cast<int>(aNeed.mAdjacency)][aNeed.mIsPinned ? 1 : 0].push_back(
       { aNeed.mPerTask, aNeed.mTasks });
@@ -50,17 +50,17 @@
 PlanBuilder::Build()
 {
   AssignGuarantees();
-  MoveOffLeavingWorkers();
+  DrainLeavingWorkers();
   QueueJobs();
   StartGuaranteed();
   ServicePlanner(mContext).Run();
   ReservationPlanner reservations(mContext);
-  reservations.KeepCapacity();
-  ShareOut(true);
+  reservations.HoldReservedCapacity();
+  PlaceByFairShare(true);
   mContext.mModel.ClearHolds();
   reservations.Continue([this](const JobId& aJob) { return FindQueued(aJob); });
-  ShareOut(false);
-  MakeReservation();
+  PlaceByFairShare(false);
+  MakeReservations();
   for (const auto* it : mWithoutCapacity) {
     mContext.mPlan.mWaiting.push_back(
       { it->mJob->mJob, WaitReason::NoCapacityNow, "no adjacent capacity is free" });
@@ -80,7 +80,7 @@
 }
 
 void
-PlanBuilder::MoveOffLeavingWorkers()
+PlanBuilder::DrainLeavingWorkers()
 {
   const auto& borrowers = mContext.mModel.Borrowers();
   std::vector<int> moved;
@@ -103,8 +103,8 @@
 {
   const auto accounts = mContext.mSnapshot.mAccounts.size();
   mQueues.resize(accounts);
-  mNotOwn.resize(accounts);
-  mNotUrgent.resize(accounts);
+  mFailedOwn.resize(accounts);
+  mFailedUrgent.resize(accounts);
   mIsQuotaBlocked.assign(accounts, 0);
   for (const auto& it : mContext.mSnapshot.mJobs) {
     QueuedJob queued;
@@ -125,7 +125,7 @@
   auto& plan = mContext.mPlan;
   const auto account = mContext.mModel.FindAccount(aJob.mAccount);
   const std::set<WorkerId> failed(aJob.mFailedWorkers.begin(), aJob.mFailedWorkers.end());
-  if (failed.size() >= detail::kWorkersToFail) {
+  if (failed.size() >= detail::kFailedWorkersToRefuse) {
     plan.mRefused.push_back({ aJob.mJob, RefusalReason::FailedRepeatedly,
                               "failed on " + std::to_string(failed.size()) + " workers" });
     return false;
@@ -136,8 +136,8 @@
     return false;
   }
   if (mContext.mModel.BorrowerOf(aJob.mJob) >= 0) {
-    plan.mWaiting.push_back(
-      { aJob.mJob, WaitReason::PreviousAttemptEnding, "its earlier leases have not ended" });
+    plan.mWaiting.push_back({ aJob.mJob, WaitReason::PreviousAttemptEnding,
+                              "leases of its previous attempt have not ended" });
     return false;
   }
   aQueued.mJob = &aJob;
@@ -146,9 +146,10 @@
   auto anywhere = aQueued.mNeed;
   anywhere.mExcluded.clear();
   if (mContext.mSnapshot.mComplete && !FitsAnywhere(anywhere)) {
-    plan.mRefused.push_back({ aJob.mJob, RefusalReason::CanNeverRun,
-                              std::to_string(aJob.mTasks) +
-                                " adjacent tasks of this size don't fit even into idle capacity" });
+    plan.mRefused.push_back(
+      { aJob.mJob, RefusalReason::CanNeverRun,
+        std::to_string(aJob.mTasks) +
+          " adjacent tasks of this size don't fit even into an idle cluster" });
     return false;
   }
   const ResourceVector quota(mContext.mSnapshot.mAccounts[*account].mQuota);
@@ -179,7 +180,7 @@
       need.mExcluded.push_back(*worker);
     }
   }
-  // Where the shape leaves no other workers, those that failed are tried again.
+  // If the gang fits only with the workers on which it failed, they are tried again.
   if (!need.mExcluded.empty() && !mContext.mSearch.FitsEmptyCluster(need)) {
     need.mExcluded.clear();
   }
@@ -189,13 +190,13 @@
 bool
 PlanBuilder::FitsAnywhere(const GangNeed& aNeed)
 {
-  if (mFitsNowhere.Covers(aNeed)) {
+  if (mFailedEmptyCluster.Covers(aNeed)) {
     return false;
   }
   if (mContext.mSearch.FitsEmptyCluster(aNeed)) {
     return true;
   }
-  mFitsNowhere.Add(aNeed);
+  mFailedEmptyCluster.Add(aNeed);
   return false;
 }
 
@@ -208,7 +209,8 @@
     }
     for (auto& it : mQueues[account]) {
       if (!StartOnOwn(it) && FitsOwnAssignment(it)) {
-        // It waits for the account's own guaranteed work, so later jobs must not prolong that.
+        // The job waits for guaranteed work of its own account; later jobs of the account would
+        // prolong the wait.
         break;
       }
     }
@@ -218,7 +220,7 @@
 bool
 PlanBuilder::StartOnOwn(QueuedJob& aJob)
 {
-  auto& failed = mNotOwn[aJob.mNeed.mAccount];
+  auto& failed = mFailedOwn[aJob.mNeed.mAccount];
   if (failed.Covers(aJob.mNeed)) {
     return false;
   }
@@ -255,7 +257,7 @@
     model.AwaitGuaranteed(it, aNeed.mAccount, aNeed.mPerTask);
   }
   mContext.Wait(aJob, WaitReason::WaitingForReclaim,
-                "borrowers on the account's guaranteed capacity are being reclaimed");
+                "borrowed work on the account's guaranteed capacity is being reclaimed");
   return true;
 }
 
@@ -297,7 +299,7 @@
 }
 
 void
-PlanBuilder::ShareOut(bool aUrgent)
+PlanBuilder::PlaceByFairShare(bool aUrgent)
 {
   using Turn = std::pair<double, int>;
   std::priority_queue<Turn, std::vector<Turn>, std::greater<>> turns;
@@ -305,7 +307,7 @@
   const auto skip = [&](int aAccount) {
     const auto& queue = mQueues[aAccount];
     auto& i = next[aAccount];
-    // An urgent job with the reservation is started by ReservationPlanner.
+    // Jobs with a reservation are started by ReservationPlanner.
     while (i < queue.size() && (queue[i].mIsSettled || queue[i].mJob->mUrgent != aUrgent ||
                                 HasReservation(queue[i].mJob->mJob))) {
       ++i;
@@ -314,28 +316,28 @@
   };
   for (int i = 0; i < static_cast<int>(mQueues.size()); ++i) {
     if (skip(i)) {
-      turns.emplace(mContext.mModel.ShareOfAccount(i), i);
+      turns.emplace(mContext.mModel.DominantShare(i), i);
     }
   }
   while (!turns.empty()) {
     const int account = turns.top().second;
     turns.pop();
-    Borrow(mQueues[account][next[account]]);
+    PlaceBorrowed(mQueues[account][next[account]]);
     ++next[account];
     if (skip(account)) {
-      turns.emplace(mContext.mModel.ShareOfAccount(account), account);
+      turns.emplace(mContext.mModel.DominantShare(account), account);
     }
   }
 }
 
 void
-PlanBuilder::Borrow(QueuedJob& aJob)
+PlanBuilder::PlaceBorrowed(QueuedJob& aJob)
 {
   const int account = aJob.mNeed.mAccount;
   if (mIsQuotaBlocked[account] || !mContext.IsWithinQuota(account, aJob.mTotal)) {
     mIsQuotaBlocked[account] = 1;
     mContext.Wait(aJob, WaitReason::OverQuota,
-                  "the account's use, or an earlier job of it, takes up the quota");
+                  "the account's quota is used up by running jobs or kept for an earlier job");
     return;
   }
   auto found = FindBorrowed(aJob, false);
@@ -361,7 +363,7 @@
 Placement
 PlanBuilder::FindBorrowed(const QueuedJob& aJob, bool aMayUseHeld)
 {
-  auto& failed = aMayUseHeld ? mNotFreeWithHeld : mNotFree;
+  auto& failed = aMayUseHeld ? mFailedFreeWithHeld : mFailedFree;
   if (failed.Covers(aJob.mNeed)) {
     return {};
   }
@@ -376,18 +378,18 @@
 PlanBuilder::MayBackfill(const QueuedJob& aJob, const Placement& aPlacement) const
 {
   const auto& reservations = mContext.mState.mReservations;
-  const auto longest = mContext.mForecast.LongestRun(aJob);
+  const auto longest = mContext.mForecast.RemainingTimeBound(aJob);
   if (!longest || aJob.mNeed.mIsPinned) {
     return false;
   }
   const auto latest = mContext.mSnapshot.mNow + *longest;
   return std::ranges::all_of(reservations, [&](const Reservation& aReservation) {
-    return latest <= aReservation.mExpectedStart || !Touches(aReservation, aPlacement);
+    return latest <= aReservation.mExpectedStart || !UsesWorkersOf(aReservation, aPlacement);
   });
 }
 
 bool
-PlanBuilder::Touches(const Reservation& aReservation, const Placement& aPlacement) const
+PlanBuilder::UsesWorkersOf(const Reservation& aReservation, const Placement& aPlacement) const
 {
   return std::ranges::any_of(aPlacement, [&](int aWorker) {
     return std::ranges::find(aReservation.mWorkers, mContext.mSnapshot.mWorkers[aWorker].mWorker) !=
@@ -400,8 +402,8 @@
 {
   mContext.Start(aJob, aPlacement, CapacityClass::Borrowed);
   for (auto& reservation : mContext.mState.mReservations) {
-    if (Touches(reservation, aPlacement)) {
-      reservation.mBackfill.insert(aJob.mJob->mJob);
+    if (UsesWorkersOf(reservation, aPlacement)) {
+      reservation.mBackfillJobs.insert(aJob.mJob->mJob);
     }
   }
 }
@@ -411,31 +413,32 @@
 {
   auto& model = mContext.mModel;
   const auto& need = aJob.mNeed;
-  if (mNotUrgent[need.mAccount].Covers(need)) {
+  if (mFailedUrgent[need.mAccount].Covers(need)) {
     return false;
   }
   ReclaimSearch search(model, mContext.mSnapshot.mNow);
-  const double share = model.ShareOfAccount(need.mAccount);
+  const double share = model.DominantShare(need.mAccount);
   const auto bound = [&](int aWorker) {
     const auto most = ResourceVector::Positive(model.Capacity(aWorker) - model.Held(aWorker));
-    return need.mIsPinned ? ResourceVector::Min(most, model.Unpinned(aWorker)) : most;
+    return need.mIsPinned ? ResourceVector::Min(most, model.PinnableLimit(aWorker)) : most;
   };
   const auto choice = search.Find(
     need, model.GetTopology().Domains(need.mAdjacency), bound, [&](const Borrower& aBorrower) {
-      // An account with a lower share keeps its work, so that two urgent queues can't displace
-      // each other in turn.
+      // Only accounts with a higher dominant share lose work; otherwise the urgent jobs of two
+      // accounts could reclaim from each other in turn.
       return !aBorrower.mUrgent && aBorrower.mAccount != need.mAccount &&
-             (aBorrower.mAccount < 0 || model.ShareOfAccount(aBorrower.mAccount) > share);
+             (aBorrower.mAccount < 0 || model.DominantShare(aBorrower.mAccount) > share);
     });
   if (!choice) {
-    mNotUrgent[need.mAccount].Add(need);
+    mFailedUrgent[need.mAccount].Add(need);
     return false;
   }
   mContext.ReclaimAll(choice->mBorrowers, ReclaimReason::Urgent, aJob.mJob->mJob, ServiceId());
   for (const int it : choice->mPlacement) {
-    model.Await(it, need.mPerTask);
+    model.Earmark(it, need.mPerTask);
   }
-  mContext.Wait(aJob, WaitReason::WaitingForReclaim, "room is being made for urgent work");
+  mContext.Wait(aJob, WaitReason::WaitingForReclaim,
+                "capacity is being reclaimed for this urgent job");
   return true;
 }
 
@@ -452,7 +455,7 @@
 }
 
 void
-PlanBuilder::MakeReservation()
+PlanBuilder::MakeReservations()
 {
   std::vector<QueuedJob*> large;
   std::ranges::copy_if(mWithoutCapacity, std::back_inserter(large),
--- a/src/placement/PlanBuilder.h
+++ b/src/placement/PlanBuilder.h
@@ -7,7 +7,7 @@
 
 namespace lovagerock::placement {
 
-// Computes one plan. The order of its steps is the order of precedence.
+// Computes one plan. Earlier steps of Build() take precedence over later ones.
 class PlanBuilder
 {
 public:
@@ -19,13 +19,14 @@
   Plan Build();
 
 private:
-  // A search that failed. It fails for every need that is at least as large, because free capacity
-  // only shrinks while a plan is made.
+  // The need of a search that failed. A search for any need at least as large fails too, because
+  // free capacity only shrinks while a plan is computed.
   struct FailedNeed
   {
     ResourceVector mPerTask;
     int mTasks;
   };
+  // The failed needs of one kind of search, by adjacency and by whether the work is pinned.
   class FailedNeeds
   {
   public:
@@ -37,8 +38,9 @@
   };
 
   void AssignGuarantees();
-  void MoveOffLeavingWorkers();
+  void DrainLeavingWorkers();
   void QueueJobs();
+  // Fills aQueued and returns true, or adds the reason why the job waits or is refused to the plan.
   bool Admit(const PendingJob& aJob, QueuedJob& aQueued);
   GangNeed NeedOf(const PendingJob& aJob, int aAccount) const;
   bool FitsAnywhere(const GangNeed& aNeed);
@@ -48,30 +50,34 @@
   bool FitsOwnAssignment(const QueuedJob& aJob);
   QueuedJob* FindQueued(const JobId& aJob);
   bool HasReservation(const JobId& aJob) const;
-  void ShareOut(bool aUrgent);
-  // Starts the job or gives it a reason to wait.
-  void Borrow(QueuedJob& aJob);
+  // Places the urgent or the other jobs one by one, each time the next job of the account with the
+  // lowest dominant share.
+  void PlaceByFairShare(bool aUrgent);
+  // Starts the job on free capacity, reclaims for it if it is urgent, or records why it waits.
+  void PlaceBorrowed(QueuedJob& aJob);
   Placement FindBorrowed(const QueuedJob& aJob, bool aMayUseHeld);
-  // Whether the job is expected to end well before each reservation of which it uses workers.
+  // Returns whether the job is expected to end before the start of each reservation whose workers
+  // it uses.
   bool MayBackfill(const QueuedJob& aJob, const Placement& aPlacement) const;
-  bool Touches(const Reservation& aReservation, const Placement& aPlacement) const;
+  bool UsesWorkersOf(const Reservation& aReservation, const Placement& aPlacement) const;
   void Backfill(QueuedJob& aJob, const Placement& aPlacement);
   bool ReclaimForUrgent(QueuedJob& aJob);
-  void MakeReservation();
+  void MakeReservations();
   bool IsLarge(const QueuedJob& aJob) const;
 
   PlanContext mContext;
-  // By account; urgent jobs first, then by time of submission.
+  // By account; each queue has the urgent jobs first, then is sorted by time of submission.
   std::vector<std::vector<QueuedJob>> mQueues;
-  // Accounts whose first waiting job keeps later ones within the quota from starting.
+  // Accounts of which a job exceeded the quota. Later jobs of the account wait as well, even if
+  // they are within the quota.
   std::vector<char> mIsQuotaBlocked;
-  FailedNeeds mFitsNowhere;
-  FailedNeeds mNotFree;
-  FailedNeeds mNotFreeWithHeld;
-  // By account.
-  std::vector<FailedNeeds> mNotUrgent;
-  std::vector<FailedNeeds> mNotOwn;
-  // Waiting for free capacity.
+  FailedNeeds mFailedEmptyCluster;
+  FailedNeeds mFailedFree;
+  FailedNeeds mFailedFreeWithHeld;
+  // By account, because these searches depend on it.
+  std::vector<FailedNeeds> mFailedUrgent;
+  std::vector<FailedNeeds> mFailedOwn;
+  // Jobs for which no capacity was found.
   std::vector<QueuedJob*> mWithoutCapacity;
 };
 
--- a/src/placement/PlanContext.cpp
+++ b/src/placement/PlanContext.cpp
@@ -19,7 +19,7 @@
   std::vector<int> failures;
   failures.reserve(aSnapshot.mWorkers.size());
   for (const auto& it : aSnapshot.mWorkers) {
-    failures.push_back(aState.Failures(it.mWorker));
+    failures.push_back(aState.ConsecutiveFailures(it.mWorker));
   }
   return failures;
 }
@@ -67,7 +67,7 @@
         reclaim.mLeases.push_back(lease.mLease);
       }
     }
-    mModel.ChooseBorrower(it);
+    mModel.MarkReclaimed(it);
     if (!reclaim.mLeases.empty()) {
       mPlan.mReclaims.push_back(std::move(reclaim));
     }
--- a/src/placement/PlanContext.h
+++ b/src/placement/PlanContext.h
@@ -17,11 +17,11 @@
   const PendingJob* mJob = nullptr;
   GangNeed mNeed;
   ResourceVector mTotal;
-  // Started, waiting with a reason, or refused.
+  // Whether the plan already starts the job or reports why it waits.
   bool mIsSettled = false;
 };
 
-// What the parts of one plan's computation share.
+// The state that the steps of one plan's computation share.
 class PlanContext
 {
 public:
@@ -36,12 +36,12 @@
 
   void Start(QueuedJob& aJob, const Placement& aPlacement, CapacityClass aClass);
   void Wait(QueuedJob& aJob, WaitReason aReason, std::string aDetail);
-  // Plans the stop of whole borrowers, except of leases that are already stopping.
+  // Adds a reclaim of each borrower with all of its leases that aren't stopping already.
   void ReclaimAll(const std::vector<int>& aBorrowers, ReclaimReason aReason, const JobId& aForJob,
                   const ServiceId& aForService);
-  // Whether the account would stay within its quota with this on top.
+  // Returns whether the account would stay within its quota if it used aMore in addition.
   bool IsWithinQuota(int aAccount, const ResourceVector& aMore) const;
-  // The account's own workers by domain.
+  // Returns the workers on which the account has assigned capacity, grouped by domain.
   std::vector<std::vector<int>> OwnDomains(int aAccount, Adjacency aLevel) const;
 
 private:
--- a/src/placement/PlannerState.cpp
+++ b/src/placement/PlannerState.cpp
@@ -18,7 +18,7 @@
   }
   record.mFailures = 0;
   record.mQuarantinedUntil = aNow + record.mNextQuarantine;
-  record.mNextQuarantine = std::min(record.mNextQuarantine * 2, kLongestQuarantine);
+  record.mNextQuarantine = std::min(record.mNextQuarantine * 2, kMaxQuarantine);
 }
 
 void
@@ -36,7 +36,7 @@
 }
 
 int
-PlannerState::Failures(const WorkerId& aWorker) const
+PlannerState::ConsecutiveFailures(const WorkerId& aWorker) const
 {
   const auto it = mRecords.find(aWorker);
   return it == mRecords.end() ? 0 : it->second.mFailures;
--- a/src/placement/PlannerState.h
+++ b/src/placement/PlannerState.h
@@ -11,8 +11,8 @@
 
 namespace lovagerock::placement {
 
-// One copy of a guarantee on concrete workers. A worker occurs more than once only with
-// Adjacency::Worker.
+// One copy of a guarantee and the workers assigned to it. With Adjacency::Worker, mWorkers names
+// the same worker mGuarantee.mWorkers times; otherwise the workers are distinct.
 struct AssignedCopy
 {
   AccountId mAccount;
@@ -21,7 +21,7 @@
   std::vector<WorkerId> mWorkers;
 };
 
-// Capacity that is kept for a large job.
+// Capacity that is held for a large job.
 struct Reservation
 {
   JobId mJob;
@@ -29,20 +29,21 @@
   std::vector<WorkerId> mWorkers;
   Resources mResourcesPerTask;
   TimePoint mSubmitted;
-  TimePoint mMadeAt;
+  TimePoint mCreatedAt;
   TimePoint mExpectedStart;
-  // The tasks that had no room at the last plan, and when that number last fell.
-  int mMissing = 0;
+  // The lowest number of tasks without room at any plan so far, and when it last fell.
+  int mMissingTasks = 0;
   TimePoint mLastProgress;
-  // When the last plan was made, and the accelerator-seconds kept idle until then.
+  // When the last plan was made, and the capacity held idle until then, in ResourceVector::Size()
+  // times seconds.
   TimePoint mLastPlan;
   double mIdle = 0;
-  // Jobs that were started on the kept capacity in the meantime.
-  std::set<JobId> mBackfill;
+  // Jobs that were started on the held capacity in the meantime.
+  std::set<JobId> mBackfillJobs;
 };
 
-// What is remembered of a worker's task failures.
-struct WorkerRecord
+// The recent task failures of a worker.
+struct FailureRecord
 {
   int mFailures = 0;
   JobId mLastFailedJob;
@@ -50,36 +51,38 @@
   Duration mNextQuarantine{ 60'000 };
 };
 
-// What the planner remembers between plans. A planner that takes over starts with an empty one.
+// What the planner keeps from plan to plan. A planner that takes over starts with an empty one.
 class PlannerState
 {
 public:
-  // A failure within this time of the start counts towards the quarantine of the worker; a later
-  // one more likely comes from the task itself.
+  // Only a failure within this time of the task's start counts towards the quarantine of the
+  // worker; a later one is more likely caused by the task itself.
   static constexpr Duration kFastFailure{ 10'000 };
   static constexpr int kFailuresToQuarantine = 3;
-  static constexpr Duration kFirstQuarantine{ 60'000 };
-  static constexpr Duration kLongestQuarantine{ 3'600'000 };
+  static constexpr Duration kInitialQuarantine{ 60'000 };
+  static constexpr Duration kMaxQuarantine{ 3'600'000 };
 
-  // A task ended with an error. Several tasks of one job count once, so that one bad gang doesn't
-  // quarantine a worker.
+  // Records that a task ended with an error after aRanFor. Failures of one job in a row count once,
+  // so that one faulty gang doesn't quarantine a worker.
   void RecordFailure(const WorkerId& aWorker, const JobId& aJob, Duration aRanFor, TimePoint aNow);
-  // A task ended well, which ends a series of failures and resets the quarantine time.
+  // Records that a task succeeded: clears the worker's failures and quarantine and resets the
+  // length of its next quarantine.
   void RecordSuccess(const WorkerId& aWorker);
   bool IsQuarantined(const WorkerId& aWorker, TimePoint aNow) const;
-  // Whether there is any failure in a row on record.
-  int Failures(const WorkerId& aWorker) const;
+  // Returns the number of counted failures since the last success or the start of the last
+  // quarantine.
+  int ConsecutiveFailures(const WorkerId& aWorker) const;
 
   std::vector<AssignedCopy> mAssignment;
-  // By falling priority; an earlier one goes before a later one.
+  // In order of descending priority; an earlier one takes capacity before a later one.
   std::vector<Reservation> mReservations;
-  // Jobs whose reservation could not complete get no other one before this time.
+  // The time before which a job whose reservation timed out gets no other one.
   std::map<JobId, TimePoint> mNoReservationBefore;
-  // Of all jobs that ended well.
+  // Run times of the jobs that succeeded.
   RunTimeHistory mRunTimes;
 
 private:
-  std::unordered_map<WorkerId, WorkerRecord> mRecords;
+  std::unordered_map<WorkerId, FailureRecord> mRecords;
 };
 
 } // namespace lovagerock::placement
--- a/src/placement/ReclaimSearch.cpp
+++ b/src/placement/ReclaimSearch.cpp
@@ -8,7 +8,7 @@
 namespace detail {
 namespace {
 
-// Stopping and starting a task again costs about this long, even if no progress is lost.
+// The time that stopping and restarting a task takes, even if no progress is lost.
 constexpr double kRestartSeconds = 60;
 
 } // namespace
@@ -91,13 +91,13 @@
     if (!aNeed.mPerTask.FitsInto(bound)) {
       continue;
     }
-    auto reach = mModel.Free(it) + mModel.Coming(it);
+    auto obtainable = mModel.Free(it) + mModel.Releasing(it);
     for (const auto& lease : mModel.Leases(it)) {
-      if (!lease.mIsComing && IsAllowed(lease.mBorrower, aAllowed)) {
-        reach += lease.mResources;
+      if (!lease.mIsReleasing && IsAllowed(lease.mBorrower, aAllowed)) {
+        obtainable += lease.mResources;
       }
     }
-    const int n = ResourceVector::Min(bound, reach).Fits(aNeed.mPerTask, aNeed.mTasks);
+    const int n = ResourceVector::Min(bound, obtainable).Fits(aNeed.mPerTask, aNeed.mTasks);
     const auto borrowers =
       n > 0 ? Cover(it, aNeed.mPerTask * n, aAllowed) : std::optional<std::vector<int>>();
     if (!borrowers) {
@@ -117,7 +117,7 @@
 ReclaimSearch::IsAllowed(int aBorrower, const Allowed& aAllowed) const
 {
   const auto& it = mModel.Borrowers()[aBorrower];
-  return !it.mGuaranteed && it.mReclaimable && !it.mChosen && aAllowed(it);
+  return !it.mGuaranteed && it.mReclaimable && !it.mIsStopPlanned && aAllowed(it);
 }
 
 double
@@ -133,21 +133,21 @@
 }
 
 bool
-ReclaimSearch::IsMissing(int aWorker, const ResourceVector& aAmount) const
+ReclaimSearch::LacksRoom(int aWorker, const ResourceVector& aAmount) const
 {
-  return !aAmount.FitsInto(mModel.Free(aWorker) + mModel.Coming(aWorker) + mFreed[aWorker]);
+  return !aAmount.FitsInto(mModel.Free(aWorker) + mModel.Releasing(aWorker) + mFreed[aWorker]);
 }
 
 std::optional<std::vector<int>>
 ReclaimSearch::Cover(int aWorker, const ResourceVector& aAmount, const Allowed& aAllowed) const
 {
   std::vector<int> cover;
-  if (!IsMissing(aWorker, aAmount)) {
+  if (!LacksRoom(aWorker, aAmount)) {
     return cover;
   }
   std::map<int, ResourceVector> freed;
   for (const auto& it : mModel.Leases(aWorker)) {
-    if (!it.mIsComing && !mIsChosen[it.mBorrower] && IsAllowed(it.mBorrower, aAllowed)) {
+    if (!it.mIsReleasing && !mIsChosen[it.mBorrower] && IsAllowed(it.mBorrower, aAllowed)) {
       freed[it.mBorrower] += it.mResources;
     }
   }
@@ -157,21 +157,21 @@
     order.emplace_back(CostOf(it.first), it.first);
   }
   std::ranges::sort(order);
-  auto there = mModel.Free(aWorker) + mModel.Coming(aWorker) + mFreed[aWorker];
+  auto available = mModel.Free(aWorker) + mModel.Releasing(aWorker) + mFreed[aWorker];
   for (const auto& it : order) {
-    if (aAmount.FitsInto(there)) {
+    if (aAmount.FitsInto(available)) {
       break;
     }
-    there += freed[it.second];
+    available += freed[it.second];
     cover.push_back(it.second);
   }
-  if (!aAmount.FitsInto(there)) {
+  if (!aAmount.FitsInto(available)) {
     return std::nullopt;
   }
-  // A borrower that was cheap but is not needed beside a later, larger one is left out.
+  // Removes cheap borrowers that are not needed once a later, larger one is reclaimed.
   for (auto i = cover.size(); i-- > 0;) {
-    if (aAmount.FitsInto(there - freed[cover[i]])) {
-      there -= freed[cover[i]];
+    if (aAmount.FitsInto(available - freed[cover[i]])) {
+      available -= freed[cover[i]];
       cover.erase(cover.begin() + static_cast<std::ptrdiff_t>(i));
     }
   }
@@ -183,17 +183,17 @@
 {
   for (const int it : aBorrowers) {
     mChosen.push_back(it);
-    AddFreed(it, true);
+    UpdateFreed(it, true);
   }
 }
 
 void
-ReclaimSearch::AddFreed(int aBorrower, bool aIsChosen)
+ReclaimSearch::UpdateFreed(int aBorrower, bool aIsChosen)
 {
   mIsChosen[aBorrower] = aIsChosen ? 1 : 0;
   for (const auto& [worker, position] : mModel.Borrowers()[aBorrower].mLeases) {
     const auto& held = mModel.Leases(worker)[position];
-    if (held.mIsComing) {
+    if (held.mIsReleasing) {
       continue;
     }
     if (aIsChosen) {
@@ -213,11 +213,11 @@
   }
   std::ranges::stable_sort(mChosen, {}, [this](int aBorrower) { return -CostOf(aBorrower); });
   std::erase_if(mChosen, [&](int aBorrower) {
-    AddFreed(aBorrower, false);
+    UpdateFreed(aBorrower, false);
     for (const auto& it : mModel.Borrowers()[aBorrower].mLeases) {
       const auto count = counts.find(it.first);
-      if (count != counts.end() && IsMissing(it.first, aNeed.mPerTask * count->second)) {
-        AddFreed(aBorrower, true);
+      if (count != counts.end() && LacksRoom(it.first, aNeed.mPerTask * count->second)) {
+        UpdateFreed(aBorrower, true);
         return false;
       }
     }
@@ -239,7 +239,7 @@
 ReclaimSearch::Reset()
 {
   for (const int it : mChosen) {
-    AddFreed(it, false);
+    UpdateFreed(it, false);
   }
   mChosen.clear();
 }
--- a/src/placement/ReclaimSearch.h
+++ b/src/placement/ReclaimSearch.h
@@ -8,7 +8,7 @@
 
 namespace lovagerock::placement {
 
-// Room for a gang once the borrowers have been reclaimed.
+// A placement for a gang, and the borrowers to reclaim for it.
 struct ReclaimChoice
 {
   Placement mPlacement;
@@ -16,23 +16,24 @@
   double mCost = 0;
 };
 
-// Finds the cheapest borrowers to reclaim for a gang. The cost of a borrower is its size times the
-// progress that is lost. The search is greedy: exact choice is a set cover problem.
+// Finds cheap borrowers to reclaim for a gang. The cost of a borrower is its size times the run
+// time that is lost and the time of a restart; it is 0 if it is stopping already. The search is
+// greedy, because the exact choice is a set cover problem.
 class ReclaimSearch
 {
 public:
-  // Which borrowers may be reclaimed. Guaranteed and uninterruptible ones never are.
+  // Whether a borrower may be reclaimed. Guaranteed and pinned ones never are, whatever it returns.
   using Allowed = std::function<bool(const Borrower&)>;
-  // The most that the gang may use of a worker.
+  // The most that the gang may use on a worker.
   using Bound = std::function<ResourceVector(int)>;
 
   ReclaimSearch(const ClusterModel& aModel, TimePoint aNow);
 
-  // The cheapest of the domains, each a list of workers.
+  // Returns the cheapest choice found in any of the domains, each a list of workers.
   std::optional<ReclaimChoice>
   Find(const GangNeed& aNeed, const std::vector<std::vector<int>>& aDomains, const Bound& aBound,
        const Allowed& aAllowed);
-  // For a gang whose workers are fixed.
+  // Returns the borrowers to reclaim for a gang whose placement is fixed.
   std::optional<ReclaimChoice>
   FindOn(const GangNeed& aNeed, const Placement& aPlacement, const Allowed& aAllowed);
 
@@ -50,12 +51,14 @@
                                     const Bound& aBound, const Allowed& aAllowed);
   bool IsAllowed(int aBorrower, const Allowed& aAllowed) const;
   double CostOf(int aBorrower) const;
-  bool IsMissing(int aWorker, const ResourceVector& aAmount) const;
-  // The cheapest borrowers that free the amount on one worker, on top of those already chosen.
+  bool LacksRoom(int aWorker, const ResourceVector& aAmount) const;
+  // Returns cheap borrowers that free the amount on one worker, in addition to those already
+  // chosen.
   std::optional<std::vector<int>>
   Cover(int aWorker, const ResourceVector& aAmount, const Allowed& aAllowed) const;
   void Choose(const std::vector<int>& aBorrowers);
-  void AddFreed(int aBorrower, bool aIsChosen);
+  void UpdateFreed(int aBorrower, bool aIsChosen);
+  // Removes the chosen borrowers that the placement doesn't need, the most expensive first.
   void Prune(const GangNeed& aNeed, const Placement& aPlacement);
   ReclaimChoice TakeChoice(Placement aPlacement);
   void Reset();
--- a/src/placement/ReservationPlanner.cpp
+++ b/src/placement/ReservationPlanner.cpp
@@ -10,8 +10,8 @@
 namespace detail {
 namespace {
 
-// Bounds the time of a plan when many large jobs wait and none can get a reservation.
-constexpr int kMostAttempts = 8;
+// Bounds the time that a plan takes when many large jobs wait and none can get a reservation.
+constexpr int kMaxReservationAttempts = 8;
 
 } // namespace
 } // namespace detail
@@ -19,7 +19,8 @@
 double
 ReservationPlanner::Priority(int aSize, TimePoint aSubmitted, TimePoint aNow)
 {
-  // The added minute makes a new gang go before a new small job.
+  // Without the added minute, new jobs of any size would have priority 0; with it, a new gang goes
+  // before a new small job.
   const std::chrono::duration<double> waited = aNow - aSubmitted + std::chrono::minutes(1);
   return aSize * waited.count();
 }
@@ -41,7 +42,7 @@
 }
 
 void
-ReservationPlanner::KeepCapacity()
+ReservationPlanner::HoldReservedCapacity()
 {
   for (const auto& it : mContext.mState.mReservations) {
     HoldAll(it);
@@ -57,7 +58,7 @@
     });
   if (dropped > 0) {
     mContext.mModel.ClearHolds();
-    KeepCapacity();
+    HoldReservedCapacity();
   }
 }
 
@@ -79,13 +80,13 @@
   if (!aJob || aJob->mIsSettled || !mContext.IsWithinQuota(aJob->mNeed.mAccount, aJob->mTotal)) {
     return false;
   }
-  // The holds at this point are those of the earlier reservations.
+  // At this point, only the capacity of reservations with a higher priority is held.
   if (const auto found = mContext.mSearch.FindFree(aJob->mNeed, false); !found.empty()) {
     mContext.Start(*aJob, found, CapacityClass::Borrowed);
     return false;
   }
   const auto placement = PlacementOf(aReservation);
-  if (!placement || !IsPossible(aJob->mNeed, *placement)) {
+  if (!placement || !CanComplete(aJob->mNeed, *placement)) {
     return false;
   }
   RecordProgress(aReservation, aJob->mNeed, *placement);
@@ -117,8 +118,8 @@
   const std::chrono::duration<double> passed = now - aReservation.mLastPlan;
   aReservation.mIdle += static_cast<double>(aNeed.mPerTask.Size()) * free * passed.count();
   aReservation.mLastPlan = now;
-  if (missing < aReservation.mMissing) {
-    aReservation.mMissing = missing;
+  if (missing < aReservation.mMissingTasks) {
+    aReservation.mMissingTasks = missing;
     aReservation.mLastProgress = now;
   }
 }
@@ -133,7 +134,7 @@
   });
   if (!choice) {
     choice = search.FindOn(aJob.mNeed, aPlacement, [&](const Borrower& aBorrower) {
-      return MayReclaim(aJob, aReservation, aBorrower) || StaysAhead(aJob, aBorrower);
+      return MayReclaim(aJob, aReservation, aBorrower) || KeepsNoLowerShare(aJob, aBorrower);
     });
     const auto& weights = mContext.mSnapshot.mWeights;
     if (!choice ||
@@ -143,9 +144,10 @@
   }
   mContext.ReclaimAll(choice->mBorrowers, ReclaimReason::Reservation, aJob.mJob->mJob, ServiceId());
   for (const int it : aPlacement) {
-    mContext.mModel.Await(it, aJob.mNeed.mPerTask);
+    mContext.mModel.Earmark(it, aJob.mNeed.mPerTask);
   }
-  mContext.Wait(aJob, WaitReason::WaitingForReclaim, "its reserved capacity is being reclaimed");
+  mContext.Wait(aJob, WaitReason::WaitingForReclaim,
+                "borrowed work on its reserved capacity is being reclaimed");
   return true;
 }
 
@@ -153,8 +155,8 @@
 ReservationPlanner::Hold(QueuedJob& aJob, Reservation& aReservation, const Placement& aPlacement)
 {
   const auto now = mContext.mSnapshot.mNow;
-  if (now >= aReservation.mLastProgress + kLongestHold) {
-    mContext.mState.mNoReservationBefore[aJob.mJob->mJob] = now + kLongestHold;
+  if (now >= aReservation.mLastProgress + kStallTimeout) {
+    mContext.mState.mNoReservationBefore[aJob.mJob->mJob] = now + kStallTimeout;
     return false;
   }
   aReservation.mExpectedStart = now;
@@ -176,28 +178,28 @@
   if (aBorrower.mUrgent) {
     return false;
   }
-  if (aReservation.mBackfill.contains(aBorrower.mFirst->mJob)) {
+  if (aReservation.mBackfillJobs.contains(aBorrower.mFirst->mJob)) {
     return true;
   }
   if (aBorrower.mSize >= aJob.mTotal.Size()) {
     return false;
   }
   const int account = aJob.mNeed.mAccount;
-  return mContext.mSnapshot.mNow >= aReservation.mLastProgress + kLongestHold &&
+  return mContext.mSnapshot.mNow >= aReservation.mLastProgress + kStallTimeout &&
          aBorrower.mAccount != account &&
-         (aBorrower.mAccount < 0 || mContext.mModel.ShareOfAccount(aBorrower.mAccount) >
-                                      mContext.mModel.ShareOfAccount(account));
+         (aBorrower.mAccount < 0 || mContext.mModel.DominantShare(aBorrower.mAccount) >
+                                      mContext.mModel.DominantShare(account));
 }
 
 bool
-ReservationPlanner::StaysAhead(const QueuedJob& aJob, const Borrower& aBorrower) const
+ReservationPlanner::KeepsNoLowerShare(const QueuedJob& aJob, const Borrower& aBorrower) const
 {
   const int account = aJob.mNeed.mAccount;
   if (aBorrower.mUrgent || aBorrower.mAccount == account || aBorrower.mSize >= aJob.mTotal.Size()) {
     return false;
   }
-  return aBorrower.mAccount < 0 || mContext.mModel.ShareOfAccount(aBorrower.mAccount) >=
-                                     mContext.mModel.ShareWith(account, aJob.mTotal);
+  return aBorrower.mAccount < 0 || mContext.mModel.DominantShare(aBorrower.mAccount) >=
+                                     mContext.mModel.DominantShareWith(account, aJob.mTotal);
 }
 
 std::optional<Placement>
@@ -215,7 +217,7 @@
 }
 
 bool
-ReservationPlanner::IsPossible(const GangNeed& aNeed, const Placement& aPlacement) const
+ReservationPlanner::CanComplete(const GangNeed& aNeed, const Placement& aPlacement) const
 {
   std::map<int, int> counts;
   for (const int it : aPlacement) {
@@ -223,17 +225,17 @@
   }
   return static_cast<int>(aPlacement.size()) == aNeed.mTasks &&
          std::ranges::all_of(counts, [&](const auto& aCount) {
-           return (aNeed.mPerTask * aCount.second).FitsInto(Reachable(aNeed, aCount.first));
+           return (aNeed.mPerTask * aCount.second).FitsInto(Obtainable(aNeed, aCount.first));
          });
 }
 
 ResourceVector
-ReservationPlanner::Reachable(const GangNeed& aNeed, int aWorker) const
+ReservationPlanner::Obtainable(const GangNeed& aNeed, int aWorker) const
 {
-  const auto reachable =
-    ResourceVector::Positive(mContext.mModel.Reclaimable(aWorker) - mContext.mModel.Held(aWorker));
-  return aNeed.mIsPinned ? ResourceVector::Min(reachable, mContext.mModel.Unpinned(aWorker))
-                         : reachable;
+  const auto obtainable = ResourceVector::Positive(mContext.mModel.FreeAfterReclaim(aWorker) -
+                                                   mContext.mModel.Held(aWorker));
+  return aNeed.mIsPinned ? ResourceVector::Min(obtainable, mContext.mModel.PinnableLimit(aWorker))
+                         : obtainable;
 }
 
 void
@@ -248,11 +250,11 @@
     if (state.mNoReservationBefore.contains(it->mJob->mJob)) {
       continue;
     }
-    if (++attempts > detail::kMostAttempts) {
+    if (++attempts > detail::kMaxReservationAttempts) {
       break;
     }
     DropBelow(Priority(it->mTotal.Size(), it->mJob->mSubmitted, now));
-    if (state.mReservations.size() >= kMostReservations) {
+    if (state.mReservations.size() >= kMaxReservations) {
       break;
     }
     const auto option = BestOption(it->mNeed);
@@ -265,7 +267,7 @@
                              it->mJob->mSubmitted,
                              now,
                              option->mStart,
-                             option->mMissing,
+                             option->mMissingTasks,
                              now,
                              now,
                              0,
@@ -284,8 +286,8 @@
   std::optional<Option> best;
   for (const auto& it : mContext.mModel.GetTopology().Domains(aNeed.mAdjacency)) {
     auto option = OptionIn(aNeed, it);
-    if (option && (!best || std::tie(option->mBlocked, option->mStart, option->mMissing) <
-                              std::tie(best->mBlocked, best->mStart, best->mMissing))) {
+    if (option && (!best || std::tie(option->mBlocked, option->mStart, option->mMissingTasks) <
+                              std::tie(best->mBlocked, best->mStart, best->mMissingTasks))) {
       best = std::move(option);
     }
   }
@@ -297,16 +299,16 @@
 {
   const auto& model = mContext.mModel;
   const auto now = mContext.mSnapshot.mNow;
-  // Whether it waits for a job that is not smaller, ready time, whether the capacity is lent,
-  // worker and number of tasks.
+  // Whether the tasks wait for work that isn't smaller than the gang, time when the capacity is
+  // free, whether it is assigned to an account, worker, and number of tasks.
   std::vector<std::tuple<bool, TimePoint, bool, int, int>> ready;
-  int reachable = 0;
+  int obtainable = 0;
   for (const int it : aWorkers) {
-    const int n = Reachable(aNeed, it).Fits(aNeed.mPerTask, aNeed.mTasks);
+    const int n = Obtainable(aNeed, it).Fits(aNeed.mPerTask, aNeed.mTasks);
     if (n == 0 || aNeed.Excludes(it)) {
       continue;
     }
-    reachable += n;
+    obtainable += n;
     const int nowFree = std::min(
       n, ResourceVector::Positive(model.Free(it) - model.Held(it)).Fits(aNeed.mPerTask, n));
     const bool isLent = !aNeed.mPerTask.FitsInto(model.Unassigned(it));
@@ -317,7 +319,7 @@
       ready.emplace_back(IsBlocked(aNeed, it), ReadyAt(it), isLent, it, n - nowFree);
     }
   }
-  if (reachable < aNeed.mTasks) {
+  if (obtainable < aNeed.mTasks) {
     return std::nullopt;
   }
   std::ranges::sort(ready);
@@ -328,7 +330,7 @@
     option.mPlacement.insert(option.mPlacement.end(), std::min(n, left), worker);
     option.mStart = std::max(option.mStart, at);
     option.mBlocked += isBlocked ? std::min(n, left) : 0;
-    option.mMissing += at > now ? std::min(n, left) : 0;
+    option.mMissingTasks += at > now ? std::min(n, left) : 0;
     if (n >= left) {
       break;
     }
@@ -340,8 +342,8 @@
 ReservationPlanner::IsBlocked(const GangNeed& aNeed, int aWorker) const
 {
   const auto size = (aNeed.mPerTask * aNeed.mTasks).Size();
-  return std::ranges::any_of(mContext.mModel.Leases(aWorker), [&](const HeldLease& aLease) {
-    return !aLease.mGuaranteed && !aLease.mIsComing &&
+  return std::ranges::any_of(mContext.mModel.Leases(aWorker), [&](const ActiveLease& aLease) {
+    return !aLease.mGuaranteed && !aLease.mIsReleasing &&
            mContext.mModel.Borrowers()[aLease.mBorrower].mSize >= size;
   });
 }
@@ -352,10 +354,10 @@
   const auto now = mContext.mSnapshot.mNow;
   auto at = now;
   for (const auto& it : mContext.mModel.Leases(aWorker)) {
-    if (it.mGuaranteed || it.mIsComing) {
+    if (it.mGuaranteed || it.mIsReleasing) {
       continue;
     }
-    at = std::max(at, mContext.mForecast.EndOf(it.mBorrower));
+    at = std::max(at, mContext.mForecast.ExpectedEnd(it.mBorrower));
   }
   return at;
 }
--- a/src/placement/ResourceVector.h
+++ b/src/placement/ResourceVector.h
@@ -10,7 +10,7 @@
 namespace lovagerock::placement {
 
 // Resources as four 32-bit numbers, so that a scan over all workers stays in the processor's cache.
-// Larger amounts are cut to half of the range, which leaves room for sums.
+// Amounts are clamped to half of the 32-bit range, so that the sum of two doesn't overflow.
 class ResourceVector
 {
 public:
@@ -22,8 +22,8 @@
 
   ResourceVector() = default;
   explicit ResourceVector(const Resources& aResources)
-    : mValues{ Cut(aResources.mSlots.Value()), Cut(aResources.mAccelerators.Value()),
-               Cut(aResources.mCores.Value()), Cut(aResources.mMemory.Value()) }
+    : mValues{ Clamp(aResources.mSlots.Value()), Clamp(aResources.mAccelerators.Value()),
+               Clamp(aResources.mCores.Value()), Clamp(aResources.mMemory.Value()) }
   {
   }
 
@@ -56,7 +56,7 @@
   friend ResourceVector operator*(ResourceVector aLeft, int aFactor)
   {
     for (auto& it : aLeft.mValues) {
-      it = Cut(static_cast<std::int64_t>(it) * aFactor);
+      it = Clamp(static_cast<std::int64_t>(it) * aFactor);
     }
     return aLeft;
   }
@@ -67,12 +67,12 @@
            mValues[2] <= aOther.mValues[2] && mValues[3] <= aOther.mValues[3];
   }
 
-  // The larger of slots and accelerators, at least 1.
+  // Returns the larger of slots and accelerators, at least 1.
   int Size() const { return std::max({ 1, mValues[kSlots], mValues[kAccelerators] }); }
 
   bool IsZero() const { return *this == ResourceVector(); }
 
-  // The smaller value of each component.
+  // Returns the component-wise minimum.
   static ResourceVector Min(ResourceVector aLeft, const ResourceVector& aRight)
   {
     for (int i = 0; i < kSize; ++i) {
@@ -80,7 +80,7 @@
     }
     return aLeft;
   }
-  // Negative components become 0.
+  // Returns the vector with negative components replaced by 0.
   static ResourceVector Positive(ResourceVector aValue)
   {
     for (auto& it : aValue.mValues) {
@@ -89,7 +89,7 @@
     return aValue;
   }
 
-  // How many times the need, which isn't zero, fits; at most aLimit.
+  // Returns how many times aNeed fits into this vector, at most aLimit. aNeed must not be zero.
   int Fits(const ResourceVector& aNeed, int aLimit) const
   {
     if (!aNeed.FitsInto(*this)) {
@@ -111,10 +111,10 @@
   }
 
 private:
-  static std::int32_t Cut(std::int64_t aValue)
+  static std::int32_t Clamp(std::int64_t aValue)
   {
-    constexpr std::int64_t kMost = std::numeric_limits<std::int32_t>::max() / 2;
-    return static_cast<std::int32_t>(std::clamp<std::int64_t>(aValue, 0, kMost));
+    constexpr std::int64_t kMax = std::numeric_limits<std::int32_t>::max() / 2;
+    return static_cast<std::int32_t>(std::clamp<std::int64_t>(aValue, 0, kMax));
   }
 
   std::array<std::int32_t, kSize> mValues{};
--- a/src/placement/RunTimeForecast.cpp
+++ b/src/placement/RunTimeForecast.cpp
@@ -7,22 +7,23 @@
 namespace lovagerock::placement {
 
 std::optional<Duration>
-RunTimeForecast::LongestRun(const QueuedJob& aJob) const
+RunTimeForecast::RemainingTimeBound(const QueuedJob& aJob) const
 {
   const auto& job = *aJob.mJob;
-  const auto whole =
-    mHistory.Quantile(job.mAccount, aJob.mTotal.Size(), kCautious, job.mEstimate, job.mRanBefore);
+  const auto whole = mHistory.Quantile(job.mAccount, aJob.mTotal.Size(), kBackfillQuantile,
+                                       job.mEstimate, job.mRanBefore);
   if (whole) {
     return *whole - job.mRanBefore;
   }
-  return job.mEstimate.count() > 0 ? std::optional(job.mEstimate * kDistrust) : std::nullopt;
+  return job.mEstimate.count() > 0 ? std::optional(job.mEstimate * kDeclaredTimeFactor)
+                                   : std::nullopt;
 }
 
 TimePoint
-RunTimeForecast::EndOf(int aBorrower) const
+RunTimeForecast::ExpectedEnd(int aBorrower) const
 {
-  mEnds.resize(mModel.Borrowers().size());
-  auto& end = mEnds[aBorrower];
+  mExpectedEnds.resize(mModel.Borrowers().size());
+  auto& end = mExpectedEnds[aBorrower];
   if (!end) {
     end = ComputeEnd(mModel.Borrowers()[aBorrower]);
   }
@@ -35,9 +36,9 @@
   const auto& lease = *aBorrower.mFirst;
   const auto ran = std::chrono::duration_cast<Duration>(mNow - lease.mStarted) + lease.mRanBefore;
   if (lease.mEstimate.count() == 0) {
-    return mNow + kUnknown;
+    return mNow + kDefaultRemainingTime;
   }
-  // A lease that has overrun its estimate is expected to run as long again.
+  // A lease that has overrun its estimate is expected to run for as long again as it has run.
   return mNow + (ran < lease.mEstimate ? lease.mEstimate - ran : ran);
 }
 
--- a/src/placement/RunTimeForecast.h
+++ b/src/placement/RunTimeForecast.h
@@ -9,18 +9,19 @@
 
 struct QueuedJob;
 
-// What a plan expects of the run times of jobs. Guaranteed work never depends on it.
+// Predicts the run times of jobs for backfill and reservations. Guaranteed work is placed without
+// it.
 class RunTimeForecast
 {
 public:
-  // A job is expected to run no longer than this part of the like jobs of its account when others
-  // would wait for it.
-  static constexpr double kCautious = 0.9;
-  // Declared run times are often far off, so without a history backfill must be expected to end
-  // well before the reservation.
-  static constexpr int kDistrust = 3;
-  // How long a borrower is expected to run on if nothing is known of it.
-  static constexpr Duration kUnknown{ 900'000 };
+  // When other jobs would wait for a job, its run time is taken as this quantile of the run times
+  // of similar jobs of its account.
+  static constexpr double kBackfillQuantile = 0.9;
+  // Without a history, the declared run time is multiplied by this, because it is often far off:
+  // backfill must be expected to end well before the reservation starts.
+  static constexpr int kDeclaredTimeFactor = 3;
+  // The remaining run time of a borrower whose caller declared no run time.
+  static constexpr Duration kDefaultRemainingTime{ 900'000 };
 
   RunTimeForecast(const ClusterModel& aModel, const RunTimeHistory& aHistory, TimePoint aNow)
     : mModel(aModel)
@@ -29,11 +30,11 @@
   {
   }
 
-  // A cautious bound on what a waiting job still has to run, by the history of its account, else by
-  // what its caller declared; nothing if neither is known.
-  std::optional<Duration> LongestRun(const QueuedJob& aJob) const;
-  // When a borrower is expected to have ended, by what its caller declared.
-  TimePoint EndOf(int aBorrower) const;
+  // Returns a cautious bound on the remaining run time of a waiting job, by the history of its
+  // account, else by its declared run time; nullopt if neither is known.
+  std::optional<Duration> RemainingTimeBound(const QueuedJob& aJob) const;
+  // Returns when a borrower is expected to have ended, by its declared run time.
+  TimePoint ExpectedEnd(int aBorrower) const;
 
 private:
   TimePoint ComputeEnd(const Borrower& aBorrower) const;
@@ -41,8 +42,8 @@
   const ClusterModel& mModel;
   const RunTimeHistory& mHistory;
   TimePoint mNow;
-  // By borrower. A plan asks for the same borrowers for each reservation that it tries.
-  mutable std::vector<std::optional<TimePoint>> mEnds;
+  // A cache by borrower, because a plan asks for the same ones for each reservation that it tries.
+  mutable std::vector<std::optional<TimePoint>> mExpectedEnds;
 };
 
 } // namespace lovagerock::placement
--- a/src/placement/RunTimeHistory.cpp
+++ b/src/placement/RunTimeHistory.cpp
@@ -21,7 +21,7 @@
 void
 RunTimeSeries::Add(const RunTime& aRunTime)
 {
-  if (mRunTimes.size() == kLength) {
+  if (mRunTimes.size() == kMaxSamples) {
     mRunTimes.erase(mRunTimes.begin());
   }
   mRunTimes.push_back(aRunTime);
@@ -38,41 +38,42 @@
 }
 
 std::optional<Duration>
-RunTimeSeries::Quantile(double aPart, Duration aDeclared, Duration aRan) const
+RunTimeSeries::Quantile(double aProbability, Duration aDeclared, Duration aRan) const
 {
   const double declared = detail::Seconds(aDeclared);
   const double ran = detail::Seconds(aRan);
-  // What spreads less says more: the times of jobs that are alike, or the declared times of an
-  // account that errs by the same factor each time.
+  // Predicts from the series with less spread: from the run times if the jobs are alike, or from
+  // the ratios if the account's declared run times are off by the same factor each time.
   const bool useRatio =
-    declared > 0 && mRatios.size() >= kFewest && Spread(mRatios) < Spread(mTimes);
-  const auto seconds =
-    useRatio ? QuantileOf(mRatios, aPart, ran / declared) : QuantileOf(mTimes, aPart, ran);
+    declared > 0 && mRatios.size() >= kMinSamples && Spread(mRatios) < Spread(mTimes);
+  const auto seconds = useRatio ? QuantileOf(mRatios, aProbability, ran / declared)
+                                : QuantileOf(mTimes, aProbability, ran);
   if (!seconds) {
     return std::nullopt;
   }
   const auto ms = *seconds * (useRatio ? declared : 1) * 1000;
   return std::clamp(Duration(static_cast<Duration::rep>(
-                      std::min(ms, static_cast<double>(RunTimeHistory::kLongest.count())))),
-                    RunTimeHistory::kShortest, RunTimeHistory::kLongest);
+                      std::min(ms, static_cast<double>(RunTimeHistory::kMaxRunTime.count())))),
+                    RunTimeHistory::kMinRunTime, RunTimeHistory::kMaxRunTime);
 }
 
 std::optional<double>
-RunTimeSeries::QuantileOf(const std::vector<double>& aSorted, double aPart, double aMoreThan)
+RunTimeSeries::QuantileOf(const std::vector<double>& aSorted, double aProbability,
+                          double aLowerBound)
 {
-  const auto first = std::ranges::upper_bound(aSorted, aMoreThan);
-  if (aSorted.size() < kFewest || first == aSorted.end()) {
+  const auto first = std::ranges::upper_bound(aSorted, aLowerBound);
+  if (aSorted.size() < kMinSamples || first == aSorted.end()) {
     return std::nullopt;
   }
-  // Rounded down, so that the largest of a whole series is never the quantile of 0.9.
+  // The index is rounded down, so that the 0.9 quantile of all samples is never the largest one.
   const auto last = static_cast<double>(aSorted.end() - first - 1);
-  return first[static_cast<std::ptrdiff_t>(aPart * last)];
+  return first[static_cast<std::ptrdiff_t>(aProbability * last)];
 }
 
 double
 RunTimeSeries::Spread(const std::vector<double>& aSorted)
 {
-  if (aSorted.size() < kFewest) {
+  if (aSorted.size() < kMinSamples) {
     return std::numeric_limits<double>::infinity();
   }
   const auto last = static_cast<double>(aSorted.size() - 1);
@@ -84,7 +85,7 @@
 RunTimeHistory::SizeClass(std::int64_t aSize)
 {
   const auto width = std::bit_width(static_cast<std::uint64_t>(std::max<std::int64_t>(aSize, 1)));
-  return std::min(static_cast<int>(width) - 1, kSizes - 1);
+  return std::min(static_cast<int>(width) - 1, kSizeClasses - 1);
 }
 
 void
@@ -93,28 +94,28 @@
   const auto size = static_cast<std::size_t>(SizeClass(aSize));
   const auto found = mEntries.find(aAccount);
   if (found == mEntries.end() || !found->second[size]) {
-    if (mCount == kMostSeries) {
-      DropOldest();
+    if (mCount == kMaxSeries) {
+      EvictLeastRecentlyUpdated();
     }
     mEntries[aAccount][size].emplace();
     ++mCount;
   }
   auto& entry = *mEntries[aAccount][size];
-  entry.mLastUse = ++mUses;
-  entry.mSeries.Add({ std::clamp(aRunTime.mDeclared, Duration(0), kLongest),
-                      std::clamp(aRunTime.mRan, kShortest, kLongest) });
+  entry.mLastUpdate = ++mUpdates;
+  entry.mSeries.Add({ std::clamp(aRunTime.mDeclared, Duration(0), kMaxRunTime),
+                      std::clamp(aRunTime.mRan, kMinRunTime, kMaxRunTime) });
 }
 
 void
-RunTimeHistory::DropOldest()
+RunTimeHistory::EvictLeastRecentlyUpdated()
 {
   auto oldest = mEntries.end();
   std::size_t at = 0;
   auto least = std::numeric_limits<std::uint64_t>::max();
   for (auto it = mEntries.begin(); it != mEntries.end(); ++it) {
-    for (std::size_t i = 0; i < kSizes; ++i) {
-      if (it->second[i] && it->second[i]->mLastUse < least) {
-        least = it->second[i]->mLastUse;
+    for (std::size_t i = 0; i < kSizeClasses; ++i) {
+      if (it->second[i] && it->second[i]->mLastUpdate < least) {
+        least = it->second[i]->mLastUpdate;
         oldest = it;
         at = i;
       }
@@ -139,11 +140,11 @@
 }
 
 std::optional<Duration>
-RunTimeHistory::Quantile(const AccountId& aAccount, std::int64_t aSize, double aPart,
+RunTimeHistory::Quantile(const AccountId& aAccount, std::int64_t aSize, double aProbability,
                          Duration aDeclared, Duration aRan) const
 {
   const auto* series = Find(aAccount, aSize);
-  return series ? series->Quantile(aPart, aDeclared, aRan) : std::nullopt;
+  return series ? series->Quantile(aProbability, aDeclared, aRan) : std::nullopt;
 }
 
 } // namespace lovagerock::placement
--- a/src/placement/ServicePlanner.cpp
+++ b/src/placement/ServicePlanner.cpp
@@ -9,7 +9,8 @@
 namespace detail {
 namespace {
 
-// A service is spread over at least this many leases, so that one worker's loss leaves most of it.
+// A lease gets at most the service's slots divided by this, rounded up, to limit what the service
+// loses with one worker.
 constexpr int kLeasesPerService = 4;
 
 } // namespace
@@ -32,7 +33,7 @@
       byService.erase(found);
     }
   }
-  // Leases of services that the configuration no longer has, in the order of the snapshot.
+  // Releases the leases of services that the configuration no longer has, in snapshot order.
   for (std::size_t i = 0; i < borrowers.size(); ++i) {
     if (byService.contains(borrowers[i].mFirst->mService.Value())) {
       Release(ReplicasOf({ static_cast<int>(i) }).front());
@@ -47,9 +48,10 @@
   for (const int it : aBorrowers) {
     const auto& borrower = mContext.mModel.Borrowers()[it];
     const auto health = mContext.mSnapshot.mWorkers[borrower.mLeases.front().first].mHealth;
-    const bool counts = health == WorkerHealth::Live && !borrower.mStopping && !borrower.mChosen;
-    replicas.push_back({ it, static_cast<int>(borrower.mFirst->mResources.mSlots.Value()), counts,
-                         health == WorkerHealth::Leaving });
+    const bool isAvailable =
+      health == WorkerHealth::Live && !borrower.mStopping && !borrower.mIsStopPlanned;
+    replicas.push_back({ it, static_cast<int>(borrower.mFirst->mResources.mSlots.Value()),
+                         isAvailable, health == WorkerHealth::Leaving });
   }
   return replicas;
 }
@@ -59,27 +61,27 @@
 {
   int present = 0;
   for (const auto& it : aReplicas) {
-    present += it.mCounts ? it.mSlots : 0;
+    present += it.mIsAvailable ? it.mSlots : 0;
   }
   const auto account = mContext.mModel.FindAccount(aService.mAccount);
   const int wanted = account ? aService.mSlots : 0;
   if (present < wanted) {
-    const int missing = Grow(aService, *account, wanted - present);
+    const int missing = AddSlots(aService, *account, wanted - present);
     if (missing > 0) {
       mContext.mPlan.mShortfalls.push_back({ aService.mService, missing });
     }
     return;
   }
-  // Borrowed leases go first, then small ones.
+  // Borrowed leases are released first, and small ones before large ones.
   std::ranges::stable_sort(aReplicas, {}, [&](const Replica& aReplica) {
     return std::pair(mContext.mModel.Borrowers()[aReplica.mBorrower].mGuaranteed, aReplica.mSlots);
   });
   int excess = present - wanted;
   for (const auto& it : aReplicas) {
-    // A lease on a leaving worker is released only after its replacement is there.
+    // A lease on a leaving worker is released only here, when the other leases cover the slots.
     if (it.mIsLeaving) {
       Release(it);
-    } else if (it.mCounts && it.mSlots <= excess) {
+    } else if (it.mIsAvailable && it.mSlots <= excess) {
       excess -= it.mSlots;
       Release(it);
     }
@@ -87,7 +89,7 @@
 }
 
 int
-ServicePlanner::Grow(const ServiceView& aService, int aAccount, int aSlots)
+ServicePlanner::AddSlots(const ServiceView& aService, int aAccount, int aSlots)
 {
   GangNeed need;
   need.mPerTask =
@@ -150,7 +152,7 @@
     aNeed, mContext.OwnDomains(aNeed.mAccount, Adjacency::Worker),
     [&](int aWorker) { return model.ShareLeft(aWorker, aNeed.mAccount); },
     [&](const Borrower& aBorrower) {
-      // A replica of the same service would only be moved.
+      // Reclaiming a lease of the same service would only move it.
       return aBorrower.mFirst->mService != aService.mService;
     });
   if (!choice) {
@@ -182,10 +184,10 @@
 ServicePlanner::Release(const Replica& aReplica)
 {
   const auto& borrower = mContext.mModel.Borrowers()[aReplica.mBorrower];
-  if (!borrower.mStopping && !borrower.mChosen) {
+  if (!borrower.mStopping && !borrower.mIsStopPlanned) {
     mContext.mPlan.mReleases.push_back({ borrower.mFirst->mService, borrower.mFirst->mLease });
     // Its capacity is neither free nor reclaimable until its requests have ended.
-    mContext.mModel.Borrowers()[aReplica.mBorrower].mChosen = true;
+    mContext.mModel.Borrowers()[aReplica.mBorrower].mIsStopPlanned = true;
   }
 }
 
--- a/src/placement/ServicePlanner.h
+++ b/src/placement/ServicePlanner.h
@@ -6,7 +6,7 @@
 
 namespace lovagerock::placement {
 
-// Keeps each service at its configured number of slots.
+// Grants and releases service leases so that each service has its configured number of slots.
 class ServicePlanner
 {
 public:
@@ -18,19 +18,21 @@
   void Run();
 
 private:
+  // A lease of a service.
   struct Replica
   {
     int mBorrower;
     int mSlots;
-    // On a worker that isn't suspected or leaving, and not being stopped.
-    bool mCounts;
+    // Whether its worker is live and it is neither stopping nor planned to stop.
+    bool mIsAvailable;
     bool mIsLeaving;
   };
 
   std::vector<Replica> ReplicasOf(const std::vector<int>& aBorrowers) const;
   void PlanService(const ServiceView& aService, std::vector<Replica> aReplicas);
-  // Returns the slots that found no capacity now.
-  int Grow(const ServiceView& aService, int aAccount, int aSlots);
+  // Grants leases for more slots. Returns the number of slots without capacity now, including those
+  // that wait for a reclaim.
+  int AddSlots(const ServiceView& aService, int aAccount, int aSlots);
   bool GrantNow(const ServiceView& aService, const GangNeed& aNeed);
   bool GrantByReclaim(const ServiceView& aService, const GangNeed& aNeed);
   void Grant(const ServiceView& aService, const GangNeed& aNeed, int aWorker, CapacityClass aClass);
--- a/src/placement/Topology.cpp
+++ b/src/placement/Topology.cpp
@@ -8,7 +8,8 @@
 namespace detail {
 namespace {
 
-// The names above the level are part of the key, because a rack name may recur in another zone.
+// Writes the key of the worker's domain at a level to aKey. It contains the names of the enclosing
+// domains, because two availability zones may have racks of the same name.
 void
 AppendKey(std::string& aKey, const WorkerView& aWorker, Adjacency aLevel)
 {
--- a/src/placement/Topology.h
+++ b/src/placement/Topology.h
@@ -7,8 +7,8 @@
 
 namespace lovagerock::placement {
 
-// The workers of each rack, zone and region by their position in the snapshot. A domain of level
-// Adjacency::Worker is a single worker.
+// Groups workers, identified by their index in the snapshot, into domains: racks, availability
+// zones and regions. A domain of level Adjacency::Worker is a single worker.
 class Topology
 {
 public:
@@ -16,12 +16,13 @@
 
   explicit Topology(const std::vector<WorkerView>& aWorkers);
 
-  // The domains of a level in the order in which the snapshot first names them.
+  // Returns the domains of a level, each a list of workers, in the order in which they first occur
+  // in the snapshot.
   const std::vector<std::vector<int>>& Domains(Adjacency aLevel) const
   {
     return mDomains[static_cast<int>(aLevel)];
   }
-  // The domain of a worker at a level.
+  // Returns the index in Domains(aLevel) of the domain that contains the worker.
   int DomainOf(Adjacency aLevel, int aWorker) const
   {
     return mDomainOf[static_cast<int>(aLevel)][aWorker];
--- a/tests/placement/ClusterFake.cpp
+++ b/tests/placement/ClusterFake.cpp
@@ -35,12 +35,12 @@
                     Adjacency aAdjacency)
 {
   PendingJob job;
-  job.mJob = JobId("job" + std::to_string(mNext++));
+  job.mJob = JobId("job" + std::to_string(mNextId++));
   job.mAccount = AccountId(aAccount);
   job.mTasks = aTasks;
   job.mResourcesPerTask = { Slots(1), Accelerators(aAccelerators), Cores(1), MemoryMiB(100) };
   job.mAdjacency = aAdjacency;
-  job.mSubmitted = mSnapshot.mNow + Duration(mNext);
+  job.mSubmitted = mSnapshot.mNow + Duration(mNextId);
   return mSnapshot.mJobs.emplace_back(std::move(job));
 }
 
@@ -109,7 +109,7 @@
     RemoveLeases({ it.mLease });
   }
   const auto add = [this](const WorkerId& aWorker, LeaseView aLease) {
-    aLease.mLease = LeaseId("lease" + std::to_string(mNext++));
+    aLease.mLease = LeaseId("lease" + std::to_string(mNextId++));
     aLease.mStarted = mSnapshot.mNow;
     std::ranges::find(mSnapshot.mWorkers, aWorker, &WorkerView::mWorker)
       ->mLeases.push_back(std::move(aLease));
@@ -168,7 +168,7 @@
 }
 
 const WaitingJob*
-ClusterFake::Waits(const Plan& aPlan, const JobId& aJob) const
+ClusterFake::FindWaiting(const Plan& aPlan, const JobId& aJob) const
 {
   const auto it = std::ranges::find(aPlan.mWaiting, aJob, &WaitingJob::mJob);
   return it == aPlan.mWaiting.end() ? nullptr : &*it;
--- a/tests/placement/ClusterFake.h
+++ b/tests/placement/ClusterFake.h
@@ -9,33 +9,36 @@
 
 namespace lovagerock::placement::tests {
 
-// A guaranteed shape of whole workers in one rack.
+// Returns a guarantee of whole workers in one rack.
 inline Guarantee
-RackOf(int aWorkers, int aCount = 1)
+RackGuarantee(int aWorkers, int aCount = 1)
 {
   return { "shape", aCount, aWorkers, Accelerators(8), Adjacency::Rack, std::nullopt };
 }
 
-// Applies plans to a snapshot as the workers would: starts and stops take effect at once, and each
-// plan is checked against the capacity of the workers.
+// Computes plans for a snapshot and applies them to it: starts and stops take effect at once.
+// Asserts that each plan starts whole gangs, exceeds no worker's capacity and reclaims only whole
+// borrowers that may be reclaimed.
 class ClusterFake
 {
 public:
-  // Workers with 8 accelerators and slots each, 8 a rack, named w0, w1, ...
+  // Makes workers named w0, w1, ... with 8 accelerators and 8 slots each.
   explicit ClusterFake(int aWorkers, int aPerRack = 8);
 
   AccountView& AddAccount(const std::string& aName, std::vector<Guarantee> aGuarantees = {});
   PendingJob& Submit(const std::string& aAccount, int aTasks, int aAccelerators,
                      Adjacency aAdjacency = Adjacency::Region);
-  // Plans, checks and applies. Stopped jobs are queued again.
+  // Computes, checks and applies one plan, then advances the time by 2 s. Reclaimed jobs are queued
+  // again.
   Plan Step();
   void Finish(const JobId& aJob);
   bool Runs(const JobId& aJob) const { return mRunning.contains(aJob); }
-  const WaitingJob* Waits(const Plan& aPlan, const JobId& aJob) const;
+  // Returns the job's entry in Plan::mWaiting, or nullptr.
+  const WaitingJob* FindWaiting(const Plan& aPlan, const JobId& aJob) const;
 
   ClusterSnapshot mSnapshot;
   PlannerState mState;
-  // Jobs that run, with their submission.
+  // The running jobs as they were submitted.
   std::map<JobId, PendingJob> mRunning;
   std::map<JobId, CapacityClass> mClass;
 
@@ -44,7 +47,7 @@
   void Apply(const Plan& aPlan);
   void RemoveLeases(const std::vector<LeaseId>& aLeases);
 
-  int mNext = 0;
+  int mNextId = 0;
 };
 
 } // namespace lovagerock::placement::tests
--- a/tests/placement/InvariantTests.cpp
+++ b/tests/placement/InvariantTests.cpp
@@ -11,7 +11,7 @@
 using namespace lovagerock;
 using namespace lovagerock::placement;
 using lovagerock::placement::tests::ClusterFake;
-using lovagerock::placement::tests::RackOf;
+using lovagerock::placement::tests::RackGuarantee;
 
 namespace {
 
@@ -41,17 +41,17 @@
 
 } // namespace
 
-// Guards against every way in which borrowing could make a guarantee void: whatever runs, a job of
-// the guaranteed shape is planned within one reclaim. The account that tests its guarantee has no
-// own work at that moment.
-Test(Invariants, hold_over_random_clusters_and_events, .timeout = 300)
+// Guards against borrowed work that keeps an account from its guarantee: whatever runs, a job of
+// the guaranteed shape must run after two plans, the first of which may reclaim. All jobs of the
+// account are finished or withdrawn before.
+Test(Invariants, guarantees_hold_on_random_clusters, .timeout = 300)
 {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::printf("seed %llu\n", static_cast<unsigned long long>(seed));
     Random random(seed);
     const int workers = 16 + 8 * static_cast<int>(random.Below(4));
     ClusterFake fake(workers);
-    fake.AddAccount("a0", { RackOf(3 + static_cast<int>(random.Below(5))) });
+    fake.AddAccount("a0", { RackGuarantee(3 + static_cast<int>(random.Below(5))) });
     fake.AddAccount("a1", { { "one", 2, 1, Accelerators(4), Adjacency::Worker, std::nullopt } });
     fake.AddAccount("a2");
     fake.AddAccount("a3").mWeight = 3;
@@ -87,11 +87,11 @@
   }
 }
 
-// Guards against plans that depend on addresses or hash order.
+// Guards against plans that depend on memory addresses or on the order of hash tables.
 Test(Invariants, same_input_gives_the_same_plan)
 {
   ClusterFake fake(32);
-  fake.AddAccount("a0", { RackOf(6) });
+  fake.AddAccount("a0", { RackGuarantee(6) });
   for (int i = 1; i < 4; ++i) {
     fake.AddAccount("a" + std::to_string(i));
   }
--- a/tests/placement/PlannerTests.cpp
+++ b/tests/placement/PlannerTests.cpp
@@ -9,26 +9,26 @@
 using namespace lovagerock;
 using namespace lovagerock::placement;
 using lovagerock::placement::tests::ClusterFake;
-using lovagerock::placement::tests::RackOf;
+using lovagerock::placement::tests::RackGuarantee;
 
-// Guards against accepting a file whose guarantees can't all be met at once.
+// Guards against accepting a configuration whose guarantees can't all be met at once.
 Test(Guarantees, names_the_guarantee_that_does_not_fit)
 {
   ClusterFake fake(16);
-  fake.AddAccount("a", { RackOf(8) });
-  fake.AddAccount("b", { RackOf(5) });
+  fake.AddAccount("a", { RackGuarantee(8) });
+  fake.AddAccount("b", { RackGuarantee(5) });
   cr_assert_not(CanPackAll(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts).has_value());
-  fake.AddAccount("c", { RackOf(4) });
+  fake.AddAccount("c", { RackGuarantee(4) });
   const auto error = CanPackAll(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts);
   cr_assert(error.has_value());
   cr_assert_eq(error->mAccount, AccountId("c"));
 }
 
-// Guards against moving guarantees that no failure touched.
+// Guards against moving copies of a guarantee whose workers are all usable.
 Test(Guarantees, reassigns_only_the_copy_on_a_lost_worker)
 {
   ClusterFake fake(24);
-  fake.AddAccount("a", { RackOf(6, 2) });
+  fake.AddAccount("a", { RackGuarantee(6, 2) });
   fake.Step();
   const auto before = fake.mState.mAssignment;
   auto lost =
@@ -47,7 +47,7 @@
 Test(Guarantees, leave_room_in_a_named_zone_for_a_lost_worker)
 {
   ClusterFake fake(32);
-  auto bound = RackOf(8);
+  auto bound = RackGuarantee(8);
   bound.mZone = ZoneId("zone0");
   fake.AddAccount("bound", { bound });
   fake.AddAccount("free", { { "single", 4, 1, Accelerators(8), Adjacency::Worker, std::nullopt } });
@@ -65,17 +65,18 @@
   cr_assert(copy() != fake.mState.mAssignment.end());
 }
 
-// Guards against a guaranteed batch that waits behind borrowers, and against stopping half a gang.
+// Guards against a guaranteed gang that waits for borrowers to end, and against reclaiming part of
+// a gang.
 Test(Reclaim, stops_the_cheapest_whole_borrowers_for_guaranteed_work)
 {
   ClusterFake fake(8);
-  fake.AddAccount("owner", { RackOf(4) });
+  fake.AddAccount("owner", { RackGuarantee(4) });
   fake.AddAccount("other");
   fake.Submit("other", 8, 8);
   fake.Step();
   const auto job = fake.Submit("owner", 4, 8, Adjacency::Rack).mJob;
   const auto plan = fake.Step();
-  cr_assert_eq(fake.Waits(plan, job)->mReason, WaitReason::WaitingForReclaim);
+  cr_assert_eq(fake.FindWaiting(plan, job)->mReason, WaitReason::WaitingForReclaim);
   cr_assert_eq(plan.mReclaims.size(), 1U);
   cr_assert_eq(plan.mReclaims[0].mForJob, job);
   fake.Step();
@@ -83,16 +84,16 @@
   cr_assert_eq(fake.mClass[job], CapacityClass::Guaranteed);
 }
 
-// Guards against lending to work that could not be taken back.
+// Guards against lending assigned capacity to work that can't be reclaimed.
 Test(Reclaim, keeps_uninterruptible_work_off_capacity_assigned_to_others)
 {
   ClusterFake fake(8);
-  fake.AddAccount("owner", { RackOf(6) });
+  fake.AddAccount("owner", { RackGuarantee(6) });
   fake.AddAccount("other");
   auto& job = fake.Submit("other", 3, 8);
   job.mIdempotent = false;
   const auto id = job.mJob;
-  cr_assert_eq(fake.Waits(fake.Step(), id)->mReason, WaitReason::NoCapacityNow);
+  cr_assert_eq(fake.FindWaiting(fake.Step(), id)->mReason, WaitReason::NoCapacityNow);
   auto& small = fake.Submit("other", 2, 8);
   small.mIdempotent = false;
   const auto smallId = small.mJob;
@@ -100,11 +101,12 @@
   cr_assert(fake.Runs(smallId), "capacity that is assigned to nobody is used");
 }
 
-// Guards against needless reclaims.
+// Guards against reclaims that are needed only because work borrowed assigned capacity while other
+// capacity was free.
 Test(Borrowing, uses_capacity_assigned_to_nobody_first)
 {
   ClusterFake fake(16);
-  fake.AddAccount("owner", { RackOf(8) });
+  fake.AddAccount("owner", { RackGuarantee(8) });
   fake.AddAccount("other");
   fake.Submit("other", 8, 8);
   fake.Step();
@@ -114,8 +116,9 @@
   cr_assert(fake.Runs(job));
 }
 
-// Guards against one account taking all free capacity, and against its head blocking others.
-Test(FairShare, divides_free_capacity_by_weight_and_passes_blocked_heads)
+// Guards against one account taking all free capacity, and against a job at the head of its queue
+// that keeps other accounts from starting.
+Test(FairShare, divides_free_capacity_by_weight_past_blocked_queue_heads)
 {
   ClusterFake fake(8);
   fake.AddAccount("a").mWeight = 3;
@@ -128,7 +131,7 @@
   fake.Step();
   const auto ofB = std::ranges::count_if(
     fake.mRunning, [](const auto& aJob) { return aJob.second.mAccount == AccountId("b"); });
-  cr_assert(ofB >= 3 && ofB <= 5, "b has a quarter of 16 places, got %d", static_cast<int>(ofB));
+  cr_assert(ofB >= 3 && ofB <= 5, "b is due a quarter of 16 places, got %d", static_cast<int>(ofB));
 }
 
 Test(FairShare, applies_quotas_and_refuses_what_exceeds_them_alone)
@@ -140,12 +143,13 @@
   fake.Submit("a", 3, 8);
   const auto plan = fake.Step();
   cr_assert(fake.Runs(first));
-  cr_assert_eq(fake.Waits(plan, second)->mReason, WaitReason::OverQuota);
+  cr_assert_eq(fake.FindWaiting(plan, second)->mReason, WaitReason::OverQuota);
   cr_assert_eq(plan.mRefused.size(), 1U);
   cr_assert_eq(plan.mRefused[0].mReason, RefusalReason::LargerThanQuota);
 }
 
-// Guards against a large batch that small jobs starve, and against trust in estimates.
+// Guards against small jobs that starve a large job, and against backfill that overruns its
+// estimate and delays the large job.
 Test(Reservation, starts_the_large_job_and_reclaims_backfill_that_overruns)
 {
   ClusterFake fake(8);
@@ -168,7 +172,7 @@
   backfill.mEstimate = std::chrono::minutes(1);
   const auto backfillId = backfill.mJob;
   const auto plan = fake.Step();
-  cr_assert_eq(fake.Waits(plan, tooLongId)->mReason, WaitReason::ReservedForLargerJob);
+  cr_assert_eq(fake.FindWaiting(plan, tooLongId)->mReason, WaitReason::ReservedForLargerJob);
   cr_assert(fake.Runs(backfillId));
   for (int i = 1; i < 8; ++i) {
     fake.Finish(running[i]);
@@ -178,8 +182,8 @@
   cr_assert(fake.Runs(large));
 }
 
-// Guards against capacity that stays idle until one reservation starts, because a job that would
-// end in time for it is held against another reservation whose workers it doesn't use.
+// Guards against idle reserved capacity: a job that would end before the reservation starts was
+// rejected for backfill because of another reservation whose workers it doesn't use.
 Test(Reservation, backfill_counts_against_the_workers_it_uses)
 {
   ClusterFake fake(8, 4);
@@ -198,7 +202,7 @@
   cr_assert(fake.Runs(job));
 }
 
-// Guards against a reservation that holds capacity for a job that can't complete.
+// Guards against a reservation that holds capacity for ever although it can't complete.
 Test(Reservation, ends_when_its_capacity_can_not_be_freed)
 {
   ClusterFake fake(8);
@@ -219,7 +223,7 @@
   cr_assert(fake.Runs(blocker));
 }
 
-// Guards against late urgent work when all capacity is lent.
+// Guards against urgent work that waits while borrowers use all capacity.
 Test(Urgent, goes_first_and_reclaims_from_accounts_with_a_higher_share)
 {
   ClusterFake fake(4);
@@ -240,21 +244,23 @@
   cr_assert(fake.Runs(id));
 }
 
-// Guards against jobs that wait forever, and against refusals by a planner that has just started.
+// Guards against impossible jobs that wait forever, and against a planner that has just started and
+// refuses jobs because it does not know all workers yet.
 Test(Refusal, covers_impossible_shapes_only_when_all_workers_are_known)
 {
   ClusterFake fake(8, 4);
   fake.AddAccount("a");
   const auto id = fake.Submit("a", 5, 8, Adjacency::Rack).mJob;
   fake.mSnapshot.mComplete = false;
-  cr_assert_eq(fake.Waits(fake.Step(), id)->mReason, WaitReason::NoCapacityNow);
+  cr_assert_eq(fake.FindWaiting(fake.Step(), id)->mReason, WaitReason::NoCapacityNow);
   fake.mSnapshot.mComplete = true;
   const auto plan = fake.Step();
   cr_assert_eq(plan.mRefused.size(), 1U);
   cr_assert_eq(plan.mRefused[0].mReason, RefusalReason::CanNeverRun);
 }
 
-// Guards against a worker that fails everything it is given, and a job that fails everywhere.
+// Guards against a worker that fails every task and still gets work, and against a job that fails
+// on every worker and is retried forever.
 Test(Quarantine, doubles_and_ends_jobs_after_three_workers)
 {
   PlannerState state;
@@ -267,7 +273,7 @@
   };
   state.RecordFailure(worker, JobId("same"), Duration(100), start);
   state.RecordFailure(worker, JobId("same"), Duration(100), start);
-  cr_assert_eq(state.Failures(worker), 1);
+  cr_assert_eq(state.ConsecutiveFailures(worker), 1);
   state.RecordSuccess(worker);
   fail(0, start);
   cr_assert(state.IsQuarantined(worker, start + std::chrono::seconds(59)));
@@ -285,7 +291,8 @@
   cr_assert_eq(fake.Step().mRefused[0].mReason, RefusalReason::FailedRepeatedly);
 }
 
-// Guards against new work on a leaving worker, and against a service that shrinks while it moves.
+// Guards against new work on a leaving worker, and against a service that has fewer slots while its
+// leases are moved.
 Test(Leaving, moves_gangs_and_service_replicas)
 {
   ClusterFake fake(4);
@@ -312,11 +319,11 @@
   cr_assert_eq(slots, 8);
 }
 
-// Guards against a second reclaim while stopped leases end late.
+// Guards against further reclaims for a job while the leases reclaimed for it are still stopping.
 Test(Reclaim, does_not_repeat_while_leases_are_stopping)
 {
   ClusterFake fake(8);
-  fake.AddAccount("owner", { RackOf(4) });
+  fake.AddAccount("owner", { RackGuarantee(4) });
   fake.AddAccount("other");
   for (int i = 0; i < 8; ++i) {
     fake.Submit("other", 1, 8);
@@ -335,11 +342,11 @@
   for (int i = 0; i < 3; ++i) {
     const auto next = fake.Step();
     cr_assert(next.mReclaims.empty(), "neither the same borrower nor another one");
-    cr_assert_eq(fake.Waits(next, job)->mReason, WaitReason::WaitingForReclaim);
+    cr_assert_eq(fake.FindWaiting(next, job)->mReason, WaitReason::WaitingForReclaim);
   }
 }
 
-// Guards against a gang that a smaller job's reservation takes for backfill and stops.
+// Guards against the reservation of a smaller job that reclaims a gang as if it were its backfill.
 Test(Reservation, does_not_reclaim_a_gang_that_started_after_it)
 {
   ClusterFake fake(16);
@@ -364,7 +371,8 @@
   }
 }
 
-// Guards against new work on a suspected worker, and against its leases being given up early.
+// Guards against new work on a suspected worker, and against reclaiming its leases before their
+// TTL.
 Test(Suspected, workers_get_no_new_work_and_keep_their_leases)
 {
   ClusterFake fake(2);
@@ -382,13 +390,13 @@
   cr_assert_eq(used->mLeases.size(), 1U);
 }
 
-// Guards against a job that is lost or run when the configuration doesn't know its account.
+// Guards against losing or running a job whose account is not in the configuration.
 Test(Refusal, job_of_an_unknown_account_waits)
 {
   ClusterFake fake(2);
   const auto job = fake.Submit("nobody", 1, 4).mJob;
   const auto plan = fake.Step();
-  cr_assert_eq(fake.Waits(plan, job)->mReason, WaitReason::UnknownAccount);
+  cr_assert_eq(fake.FindWaiting(plan, job)->mReason, WaitReason::UnknownAccount);
   fake.AddAccount("nobody");
   fake.Step();
   cr_assert(fake.Runs(job));
--- a/tests/placement/ReplayTests.cpp
+++ b/tests/placement/ReplayTests.cpp
@@ -18,16 +18,17 @@
 namespace {
 
 ReplayTrace
-Shipped(const std::string& aKind)
+ReadShippedTrace(const std::string& aKind)
 {
   return ReadReplayTrace(std::string(REPLAY_TRACE_DIRECTORY) + "/" + aKind + ".txt");
 }
 
-// One worker; the owner's job arrives while a borrower holds the assigned worker.
+// Returns a trace with one worker, which is assigned to account "owner". The owner's job arrives at
+// 50 s, while a job of account "guest" runs on the worker.
 ReplayTrace
 BorrowedWorker(Duration aCheckpoint)
 {
-  auto trace = Shipped("zarqa-day");
+  auto trace = ReadShippedTrace("zarqa-day");
   trace.mWorkers.resize(1);
   trace.mFaults.clear();
   trace.mAccounts = {
@@ -56,7 +57,7 @@
 
 } // namespace
 
-// Guards against a shipped trace that no longer is what its printed seed gives.
+// Guards against shipped trace files that differ from what the generator gives for their seed.
 Test(Replay, shipped_traces_are_those_of_their_seed)
 {
   for (const auto& it : TraceKinds()) {
@@ -69,12 +70,12 @@
   }
 }
 
-// Guards against plans that overfill a worker, split a gang or interrupt non-idempotent work, and
-// against jobs that can never run and are kept waiting.
-Test(Replay, plans_on_the_shipped_traces_keep_the_rules)
+// Guards against plans that exceed a worker's capacity, start part of a gang or interrupt
+// non-idempotent work, and against impossible jobs that wait instead of being refused.
+Test(Replay, plans_for_the_shipped_traces_violate_no_constraint)
 {
   for (const auto& kind : TraceKinds()) {
-    const auto trace = Shipped(kind);
+    const auto trace = ReadShippedTrace(kind);
     const auto run = RunTrace(trace, ComputePlan, true);
     cr_assert(run.mViolations.empty(), "%s", run.mViolations.front().c_str());
     for (const auto& it : run.mJobs) {
@@ -85,8 +86,9 @@
   }
 }
 
-// Guards against a replay that loses the saved progress of a reclaimed job or keeps unsaved one.
-Test(Replay, a_reclaimed_job_goes_on_from_its_checkpoint)
+// Guards against a replay that loses the saved progress of a reclaimed job or keeps unsaved
+// progress.
+Test(Replay, a_reclaimed_job_resumes_from_its_checkpoint)
 {
   const auto ended = [](Duration aCheckpoint) {
     const auto trace = BorrowedWorker(aCheckpoint);
@@ -98,13 +100,13 @@
   };
   const Duration ownerEnd = std::chrono::seconds(150) + kStopTime + kStartTime;
   cr_assert(ended(Duration(0)) == ownerEnd + kStartTime + std::chrono::seconds(100));
-  // It ran for 50 s and the stop time, less its start.
+  // Before the reclaim it ran for 50 s and the stop time, less its start time.
   cr_assert(ended(std::chrono::seconds(1)) ==
             ownerEnd + kStartTime + std::chrono::seconds(50) - kStopTime + kStartTime);
 }
 
-// Guards against a trace with a typing error that is replayed without the line.
-Test(Replay, a_bad_line_is_named)
+// Guards against a replay that silently skips a malformed line of the trace.
+Test(Replay, a_parse_error_names_the_line)
 {
   auto path = (std::filesystem::temp_directory_path() / "lovagerock-XXXXXX").string();
   const int file = mkstemp(path.data());
--- a/tests/placement/TraceReplay.h
+++ b/tests/placement/TraceReplay.h
@@ -12,7 +12,7 @@
 
 namespace lovagerock::placement::tests {
 
-// One job of a recorded day. Times are in minutes.
+// One job of a trace. Times are in minutes.
 struct TraceJob
 {
   PendingJob mPending;
@@ -20,7 +20,8 @@
   int mMinutes = 0;
 };
 
-// What became of a replayed job; -1 if it did not start.
+// The result of a replayed job. Times are in minutes; mStarted and mEnded are -1 if the job did not
+// start or end.
 struct TraceOutcome
 {
   std::string mAccount;
@@ -29,7 +30,7 @@
   int mStarted = -1;
   int mEnded = -1;
   int mReclaims = 0;
-  // Accelerators times minutes of one run.
+  // Accelerators times run time of one run.
   int mWork = 0;
   int mMinutes = 0;
 };
@@ -42,7 +43,7 @@
 
 using Policy = std::function<Plan(const ClusterSnapshot&)>;
 
-// Reads a trace file. Its columns are described in its first lines.
+// Reads a trace file. The comment lines at its head name the columns.
 inline std::vector<TraceJob>
 ReadTrace(const std::string& aPath)
 {
@@ -87,8 +88,8 @@
   return jobs;
 }
 
-// Replays a trace with one plan a minute on 16 workers of 8 accelerators in 2 racks. A reclaimed
-// job starts again from the beginning. Accounts that are not given have weight 1 and no guarantee.
+// Replays a trace with one plan per minute on 16 workers of 8 accelerators in 2 racks. A reclaimed
+// job restarts from the beginning. Accounts not in aAccounts have weight 1 and no guarantee.
 inline TraceResult
 Replay(const std::vector<TraceJob>& aTrace, const Policy& aPolicy, int aMinutes,
        const std::vector<AccountView>& aAccounts = {})
--- a/tests/placement/TraceTests.cpp
+++ b/tests/placement/TraceTests.cpp
@@ -26,8 +26,8 @@
   }
 }
 
-// Guards against small jobs that reclaim a gang in turn with it: the gang started every 4 minutes
-// and ended only when the small jobs ran out.
+// Guards against a gang and small jobs that reclaim capacity from each other in turn: the gang was
+// restarted every 4 minutes and ended only when no small jobs were left.
 void
 ExpectLargeGangsRunOnce(const TraceResult& aResult)
 {
@@ -39,7 +39,8 @@
 
 } // namespace
 
-// Guards against the past failure in which a battery batch waited all night behind screen scans.
+// Guards against large gangs that are starved by a stream of small jobs: the battery gangs waited
+// all night behind the jobs of account "screens".
 Test(Trace, overnight_battery_batch_starts_within_an_hour)
 {
   const auto result = ReplayFile("overnight.txt");
@@ -52,7 +53,7 @@
   ExpectAllEnd(result);
 }
 
-// Guards against a late grade: scoring must end in the day although declared run times are wrong.
+// Guards against gangs that end after the working day because declared run times are far off.
 Test(Trace, term_end_scoring_ends_in_the_day_and_no_account_starves)
 {
   const auto result = ReplayFile("term-end.txt");
