--- a/src/membership/Member.h
+++ b/src/membership/Member.h
@@ -10,22 +10,22 @@
 
 namespace lovagerock::membership {
 
-// How a node sees an entry node.
+// This node's view of the state of an entry node.
 enum class MemberState
 {
-  // Heard within the live timeout.
+  // A heartbeat or an answer arrived within the live timeout.
   Live,
-  // Heard within the live timeout, and it takes no new work.
+  // As Live, but the node is shutting down and takes no new work.
   Leaving,
-  // Not heard within the live timeout.
+  // Nothing arrived within the live timeout.
   Suspected
 };
 
-// What an entry node says about itself in its heartbeats.
+// What an entry node reports about itself in heartbeats and in answers to them.
 struct Member
 {
   NodeId mNode;
-  // Higher after each restart of the node; tells a restart from a pause.
+  // Increases with each restart of the node, to distinguish a restart from a pause.
   std::uint64_t mIncarnation = 0;
   bool mLeaving = false;
   ZoneId mZone;
@@ -35,7 +35,7 @@
   bool operator==(const Member&) const = default;
 };
 
-// A member with this node's view of it.
+// A member and its state as this node sees it.
 struct MemberView
 {
   Member mMember;
@@ -44,11 +44,11 @@
   bool operator==(const MemberView&) const = default;
 };
 
-// Writes a member as the body of a heartbeat.
+// Converts a member to the body of a heartbeat or of an answer to one.
 Json
 WriteMember(const Member& aMember);
 
-// Reads the body of a heartbeat; nothing if it is malformed.
+// Parses the body of a heartbeat or of an answer to one; returns nothing if it is malformed.
 std::optional<Member>
 ReadMember(const Json& aJson);
 
--- a/src/membership/MemberTable.cpp
+++ b/src/membership/MemberTable.cpp
@@ -10,35 +10,35 @@
   : mSelf(std::move(aSelf))
   , mSettings(aSettings)
   , mLastAdvance(aNow)
-  , mUnsureSince(aNow)
+  , mUnconfirmedSince(aNow)
 {
 }
 
 void
-MemberTable::Hear(const Member& aMember, TimePoint aNow)
+MemberTable::RecordHeartbeat(const Member& aMember, TimePoint aNow)
 {
   if (aMember.mNode == mSelf.mNode) {
     return;
   }
-  auto [it, isNew] = mHeard.try_emplace(aMember.mNode, Heard{ aMember, aNow });
-  auto& heard = it->second;
-  if (aMember.mIncarnation < heard.mMember.mIncarnation) {
+  auto [it, isNew] = mKnownMembers.try_emplace(aMember.mNode, KnownMember{ aMember, aNow });
+  auto& known = it->second;
+  if (aMember.mIncarnation < known.mMember.mIncarnation) {
     return;
   }
-  // Heartbeats may arrive out of order, and a node that is leaving does not come back without a
-  // restart.
+  // Heartbeats may arrive out of order, and a leaving node takes new work again only after a
+  // restart, so a late heartbeat doesn't reset the leaving state.
   const bool leaving =
-    !isNew && heard.mMember.mLeaving && aMember.mIncarnation == heard.mMember.mIncarnation;
-  if (isNew || aMember.mIncarnation > heard.mMember.mIncarnation) {
+    !isNew && known.mMember.mLeaving && aMember.mIncarnation == known.mMember.mIncarnation;
+  if (isNew || aMember.mIncarnation > known.mMember.mIncarnation) {
     LogEvent("member_joined")
       .With("member", aMember.mNode)
       .With("incarnation", aMember.mIncarnation)
       .With("address", aMember.mAddress.ToString());
   }
-  heard = { aMember, aNow };
-  heard.mMember.mLeaving = aMember.mLeaving || leaving;
-  // A node that took over the address of another has replaced it.
-  std::erase_if(mHeard, [&aMember](const auto& aEntry) {
+  known = { aMember, aNow };
+  known.mMember.mLeaving = aMember.mLeaving || leaving;
+  // A newer node on the same address has replaced the older one.
+  std::erase_if(mKnownMembers, [&aMember](const auto& aEntry) {
     const auto& other = aEntry.second.mMember;
     return other.mNode != aMember.mNode && other.mAddress == aMember.mAddress &&
            other.mIncarnation < aMember.mIncarnation;
@@ -46,11 +46,11 @@
 }
 
 void
-MemberTable::HearAnswer(const Member& aMember, TimePoint aSent, TimePoint aNow)
+MemberTable::RecordAnswer(const Member& aMember, TimePoint aSent, TimePoint aNow)
 {
-  Hear(aMember, aNow);
-  if (aMember.mNode != mSelf.mNode && aSent >= mUnsureSince) {
-    mUnsure = false;
+  RecordHeartbeat(aMember, aNow);
+  if (aMember.mNode != mSelf.mNode && aSent >= mUnconfirmedSince) {
+    mViewUnconfirmed = false;
     mStarting = false;
   }
 }
@@ -59,15 +59,15 @@
 MemberTable::SetVmList(const std::vector<Vm>& aVms, TimePoint aNow)
 {
   Advance(aNow);
-  mListed.clear();
+  mListedAddresses.clear();
   for (const auto& it : aVms) {
     if (it.mRole == Vm::Role::Entry && it.mAddress != mSelf.mAddress) {
-      mListed.insert(it.mAddress);
+      mListedAddresses.insert(it.mAddress);
     }
   }
-  // The only node there is has nobody to hear.
-  if (mListed.empty() && mHeard.empty()) {
-    mUnsure = false;
+  // Without any other node, nobody can answer.
+  if (mListedAddresses.empty() && mKnownMembers.empty()) {
+    mViewUnconfirmed = false;
     mStarting = false;
   }
 }
@@ -78,27 +78,28 @@
   if (aNow - mLastAdvance > mSettings.mLiveTimeout) {
     LogEvent("resumed_after_pause", LogLevel::Warning)
       .With("pause_ms", std::chrono::duration_cast<Duration>(aNow - mLastAdvance));
-    mUnsure = true;
+    mViewUnconfirmed = true;
     mStarting = false;
-    mUnsureSince = aNow;
+    mUnconfirmedSince = aNow;
   }
   mLastAdvance = aNow;
-  // A node that starts while all others are down must be able to work.
-  if (mStarting && aNow - mUnsureSince > mSettings.mLiveTimeout) {
-    mUnsure = false;
+  // A node that starts while all others are down must still become able to work.
+  if (mStarting && aNow - mUnconfirmedSince > mSettings.mLiveTimeout) {
+    mViewUnconfirmed = false;
     mStarting = false;
   }
-  std::erase_if(
-    mHeard, [&](const auto& aEntry) { return aNow - aEntry.second.mAt > mSettings.mKnownTimeout; });
+  std::erase_if(mKnownMembers, [&](const auto& aEntry) {
+    return aNow - aEntry.second.mLastHeard > mSettings.mKnownTimeout;
+  });
 }
 
 MemberState
-MemberTable::StateOf(const Heard& aHeard, TimePoint aNow) const
+MemberTable::StateOf(const KnownMember& aKnownMember, TimePoint aNow) const
 {
-  if (aNow - aHeard.mAt > mSettings.mLiveTimeout) {
+  if (aNow - aKnownMember.mLastHeard > mSettings.mLiveTimeout) {
     return MemberState::Suspected;
   }
-  return aHeard.mMember.mLeaving ? MemberState::Leaving : MemberState::Live;
+  return aKnownMember.mMember.mLeaving ? MemberState::Leaving : MemberState::Live;
 }
 
 std::vector<MemberView>
@@ -106,8 +107,8 @@
 {
   std::map<NodeId, MemberView> views;
   views[mSelf.mNode] = { mSelf, mSelf.mLeaving ? MemberState::Leaving : MemberState::Live };
-  for (const auto& [node, heard] : mHeard) {
-    views[node] = { heard.mMember, StateOf(heard, aNow) };
+  for (const auto& [node, known] : mKnownMembers) {
+    views[node] = { known.mMember, StateOf(known, aNow) };
   }
   std::vector<MemberView> members;
   members.reserve(views.size());
@@ -138,8 +139,8 @@
 std::set<SocketAddress>
 MemberTable::HeartbeatTargets() const
 {
-  auto targets = mListed;
-  for (const auto& it : mHeard) {
+  auto targets = mListedAddresses;
+  for (const auto& it : mKnownMembers) {
     targets.insert(it.second.mMember.mAddress);
   }
   return targets;
--- a/src/membership/MemberTable.h
+++ b/src/membership/MemberTable.h
@@ -17,63 +17,66 @@
 struct MembershipSettings
 {
   Duration mHeartbeatPeriod{ 1000 };
-  // A member is live while it was heard within this time. A node that did not run for longer is
-  // unsure.
+  // A member is live if a message from it arrived within this time. A node that was paused for
+  // longer treats its own view as unconfirmed.
   Duration mLiveTimeout{ 3000 };
-  // A member stays known for this time after it was last heard.
+  // A member is removed when no message from it has arrived for this time.
   Duration mKnownTimeout{ 60000 };
 };
 
-// The members as this node sees them, without any transport. All times are given by the caller
-// and never go back.
+// The members as this node sees them. Does no I/O. Callers pass the current time, which must never
+// decrease.
 class MemberTable
 {
 public:
   MemberTable(Member aSelf, const MembershipSettings& aSettings, TimePoint aNow);
 
-  // Notes a heartbeat or an answer to one. Those of an older incarnation are ignored.
-  void Hear(const Member& aMember, TimePoint aNow);
-  // Notes the answer to a heartbeat that was sent at the given time.
-  void HearAnswer(const Member& aMember, TimePoint aSent, TimePoint aNow);
-  // Takes over a newly read VM list.
+  // Records a heartbeat, or an answer to one. Ignores those of an older incarnation of the node.
+  void RecordHeartbeat(const Member& aMember, TimePoint aNow);
+  // Records the answer to a heartbeat that this node sent at aSent.
+  void RecordAnswer(const Member& aMember, TimePoint aSent, TimePoint aNow);
+  // Replaces the addresses of listed entry nodes by those of a newly read VM list.
   void SetVmList(const std::vector<Vm>& aVms, TimePoint aNow);
   void SetLeaving() { mSelf.mLeaving = true; }
-  // Forgets members that are no longer known and notices a pause of this node. Must be called
-  // before each use of the table and at least each heartbeat period.
+  // Removes members whose known timeout has expired, and detects a pause of this node. Must be
+  // called before each use of the table and at least once per heartbeat period.
   void Advance(TimePoint aNow);
 
   const Member& Self() const { return mSelf; }
-  // Whether this node does not know if others took it for dead: after its start and after a pause,
-  // until a member answers a heartbeat sent since then.
-  bool IsUnsure() const { return mUnsure; }
-  // All members that were heard and are still known, this node included, by id.
+  // Whether the other nodes may have taken this node for dead: after its start and after a pause,
+  // until a member answers a heartbeat that was sent since then. After its start, a node that finds
+  // no other node in the VM list, or gets no answer within the live timeout, is confirmed as well.
+  bool IsUnsure() const { return mViewUnconfirmed; }
+  // All known members, this node included, ordered by id.
   std::vector<MemberView> Members(TimePoint aNow) const;
-  // Number of known nodes: in the VM list or heard within the known timeout, this node included.
+  // Number of known nodes, this node included: those in the VM list and the known members.
   std::size_t KnownCount() const;
-  // Ids of the live members, this node included, that take new work; of all regions if empty.
+  // Ids of the live members of a region, this node included unless it is leaving; of all regions if
+  // aRegion is empty.
   std::vector<NodeId> LiveNodes(const RegionId& aRegion, TimePoint aNow) const;
-  // Where heartbeats go: all known nodes but this one.
+  // Addresses of all known nodes but this one, which heartbeats are sent to.
   std::set<SocketAddress> HeartbeatTargets() const;
 
 private:
-  struct Heard
+  struct KnownMember
   {
     Member mMember;
-    TimePoint mAt;
+    TimePoint mLastHeard;
   };
 
-  MemberState StateOf(const Heard& aHeard, TimePoint aNow) const;
+  MemberState StateOf(const KnownMember& aKnownMember, TimePoint aNow) const;
 
   Member mSelf;
   MembershipSettings mSettings;
-  std::map<NodeId, Heard> mHeard;
-  // Peer addresses of entry nodes in the VM list, without this node's.
-  std::set<SocketAddress> mListed;
+  std::map<NodeId, KnownMember> mKnownMembers;
+  // Peer addresses of the entry nodes in the VM list, except this node's.
+  std::set<SocketAddress> mListedAddresses;
   TimePoint mLastAdvance;
-  // Answers to heartbeats sent before this time don't end the doubt: they may have waited in a
-  // socket during the pause.
-  TimePoint mUnsureSince;
-  bool mUnsure = true;
+  // When this node started or resumed. Answers to heartbeats sent before this time don't confirm
+  // the view: they may have waited in a socket during the pause.
+  TimePoint mUnconfirmedSince;
+  bool mViewUnconfirmed = true;
+  // True from the start until the view is first confirmed or a pause is detected.
   bool mStarting = true;
 };
 
--- a/src/membership/Membership.h
+++ b/src/membership/Membership.h
@@ -20,16 +20,17 @@
 
 namespace lovagerock::membership {
 
-// Keeps the members by a heartbeat each period to every known entry node. Other modules add
-// payloads to the answers. Belongs to the transport's loop.
+// Maintains the member table: sends a heartbeat to every known entry node in each heartbeat period
+// and processes the answers. Other modules add payloads to the answers. Must only be used on the
+// transport's event loop.
 template<peer::PeerTransport Transport>
 class Membership
 {
 public:
-  // Gives this node's payload for an answer; null if there is none.
+  // Returns this node's payload for an answer to a heartbeat; null if there is none.
   using PayloadWriter = std::function<Json()>;
-  // Takes a member's payload. aSent is when this node sent the heartbeat that was answered, so the
-  // content of the payload is at most as old as it says plus the time since then.
+  // Processes a member's payload. aSent is when this node sent the heartbeat that was answered, so
+  // an age given in the payload has grown by at most the time since aSent.
   using PayloadReader =
     std::function<void(const Member& aMember, const Json& aPayload, TimePoint aSent)>;
   using ChangeCallback = std::function<void()>;
@@ -48,21 +49,22 @@
       }
     });
     mTimer = mLoop.Every(mSettings.mHeartbeatPeriod, [this] { SendHeartbeats(); });
-    // Finds lapsed members between heartbeats.
+    // Detects members whose live timeout expires between two heartbeats.
     mCheckTimer = mLoop.Every(mSettings.mHeartbeatPeriod / 4, [this] { Update(); });
   }
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // Adds a payload under a name that is unique among the modules.
+  // Adds a payload to the answers, under a name that must be unique among the modules.
   void AddPayload(const std::string& aName, PayloadWriter aWriter, PayloadReader aReader)
   {
     mPayloads[aName] = { std::move(aWriter), std::move(aReader) };
   }
-  // Calls back, from the loop, after a member or its state or IsUnsure() has changed.
+  // Registers a callback that the event loop calls after a member, its state or
+  // IsViewUnconfirmed() has changed.
   void OnChange(ChangeCallback aCallback) { mCallbacks.push_back(std::move(aCallback)); }
 
-  // Takes over a newly read VM list; new nodes get a heartbeat at once.
+  // Replaces the VM list by a newly read one and sends a heartbeat to new nodes at once.
   void SetVmList(const std::vector<Vm>& aVms)
   {
     const auto before = mTable.HeartbeatTargets();
@@ -75,7 +77,7 @@
     Update();
   }
 
-  // Tells all members at once that this node takes no new work.
+  // Announces to all known nodes at once that this node takes no new work.
   void SetLeaving()
   {
     mTable.SetLeaving();
@@ -83,16 +85,16 @@
   }
 
   const Member& Self() const { return mTable.Self(); }
-  std::vector<MemberView> Members() { return Now().Members(mLastNow); }
+  std::vector<MemberView> Members() { return AdvancedTable().Members(mLastNow); }
   std::vector<NodeId> LiveNodes(const RegionId& aRegion = {})
   {
-    return Now().LiveNodes(aRegion, mLastNow);
+    return AdvancedTable().LiveNodes(aRegion, mLastNow);
   }
-  std::size_t KnownCount() { return Now().KnownCount(); }
-  bool IsUnsure() { return Now().IsUnsure(); }
+  std::size_t KnownCount() { return AdvancedTable().KnownCount(); }
+  bool IsUnsure() { return AdvancedTable().IsUnsure(); }
 
-  // The live member of the region that owns the key, or of all regions if the region is empty.
-  // Empty if there is none. Whoever acts as owner must also check IsUnsure().
+  // Returns the live member of a region that owns the key, or of all regions if aRegion is empty;
+  // empty if there is no live member. A node must not act as owner while IsViewUnconfirmed().
   NodeId OwnerOf(const std::string& aKey, const RegionId& aRegion = {})
   {
     return RendezvousOwner(aKey, LiveNodes(aRegion));
@@ -108,8 +110,9 @@
     PayloadReader mReader;
   };
 
-  // The table advanced to the present, so that a pause is noticed before anything is decided.
-  MemberTable& Now()
+  // Returns the table after advancing it to the current time, so that a pause of this node is
+  // detected before a caller decides on the members.
+  MemberTable& AdvancedTable()
   {
     mLastNow = Clock::now();
     mTable.Advance(mLastNow);
@@ -118,7 +121,7 @@
 
   void SendHeartbeats()
   {
-    for (const auto& it : Now().HeartbeatTargets()) {
+    for (const auto& it : AdvancedTable().HeartbeatTargets()) {
       SendHeartbeat(it);
     }
     Update();
@@ -141,12 +144,12 @@
   void OnHeartbeat(const Json& aBody, const peer::ReplyFunction& aReply)
   {
     if (const auto member = ReadMember(aBody)) {
-      Now().Hear(*member, mLastNow);
+      AdvancedTable().RecordHeartbeat(*member, mLastNow);
       Update();
     }
     auto answer = WriteMember(mTable.Self());
     for (const auto& [name, payload] : mPayloads) {
-      // Left out if there is nothing to say, because every exchange would carry it.
+      // Empty payloads are omitted, because every answer would carry them.
       if (auto value = payload.mWriter(); !value.is_null()) {
         answer["payload"][name] = std::move(value);
       }
@@ -160,7 +163,7 @@
     if (!member) {
       return;
     }
-    Now().HearAnswer(*member, aSent, mLastNow);
+    AdvancedTable().RecordAnswer(*member, aSent, mLastNow);
     const auto payloads = JsonValue(aAnswer, "payload", Json::object());
     for (const auto& [name, payload] : mPayloads) {
       if (payloads.contains(name)) {
@@ -170,10 +173,10 @@
     Update();
   }
 
-  // Notifies of changes since the last call.
+  // Notifies the callbacks if the members or IsViewUnconfirmed() have changed since the last call.
   void Update()
   {
-    auto& table = Now();
+    auto& table = AdvancedTable();
     auto view = std::pair(table.Members(mLastNow), table.IsUnsure());
     if (view == mNotified) {
       return;
@@ -198,7 +201,8 @@
   std::pair<std::vector<MemberView>, bool> mNotified;
   Timer mTimer;
   Timer mCheckTimer;
-  // Expires with the membership, whose handler and calls the transport may outlive.
+  // Guards the callbacks that the transport and the event loop may still call after this object is
+  // destroyed.
   std::shared_ptr<Membership*> mAlive = std::make_shared<Membership*>(this);
 };
 
--- a/src/membership/Rendezvous.cpp
+++ b/src/membership/Rendezvous.cpp
@@ -13,11 +13,11 @@
 {
   std::pair<std::uint64_t, NodeId> best;
   for (const auto& it : aNodes) {
-    // The zero byte keeps different pairs of node and key apart.
+    // The zero byte separates node and key, so that different pairs never give the same text.
     auto text = it.Value();
     text += '\0';
     text += aKey;
-    // Equal hashes fall back to the higher id.
+    // If hashes are equal, the higher id wins.
     best = std::max(best, std::pair(HashText(text), it));
   }
   return best.second;
--- a/src/membership/Rendezvous.h
+++ b/src/membership/Rendezvous.h
@@ -7,8 +7,9 @@
 
 namespace lovagerock::membership {
 
-// The node with the highest hash for a key (rendezvous hashing): the same on every node that sees
-// the same nodes, and unchanged for a key when another node joins or leaves. Empty without nodes.
+// Returns the node that owns a key by rendezvous hashing, or an empty id without nodes. Every node
+// with the same list of nodes gets the same owner. When a node leaves, only the keys that it owned
+// move; when a node joins, only the keys that it then owns.
 NodeId
 RendezvousOwner(const std::string& aKey, const std::vector<NodeId>& aNodes);
 
--- a/src/membership/SharedVmList.h
+++ b/src/membership/SharedVmList.h
@@ -3,9 +3,9 @@
 #include "base/EventLoop.h"
 #include "base/LogEvent.h"
 #include "base/Random.h"
-#include "membership/ListReliance.h"
+#include "membership/FollowedReader.h"
 #include "membership/VmList.h"
-#include "membership/VmListBatch.h"
+#include "membership/VmListUpdate.h"
 #include "peer/PeerTransport.h"
 
 #include <chrono>
@@ -17,29 +17,32 @@
 
 namespace lovagerock::membership {
 
-// Times of a SharedVmList.
+// Time limits of a SharedVmList.
 struct SharedVmListSettings
 {
-  RelianceSettings mReliance;
+  FollowedReaderSettings mFollowedReader;
+  // Period of the check whether the followed reader is still valid.
   Duration mCheckPeriod{ 100 };
+  // Deadline of the calls that send an update to the other nodes.
   Duration mCallTimeout{ 1000 };
-  // Longest time between two own reads while another node's are relied on. They find a reader whose
-  // answers don't change any more. The time is jittered, so that the nodes don't read together.
+  // Maximum time between two reads of its own by a node that follows a reader. These reads detect a
+  // reader that keeps answering but no longer notices changes. The time is jittered, so that the
+  // nodes don't all read at once.
   Duration mOwnReadPeriod{ 300000 };
 };
 
-// Keeps the VM list of a node. One node of the region, the reader, reads it often and sends its
-// changes to the others. A node reads for itself whenever it can't rely on a reader. Belongs to the
-// transport's loop.
+// Maintains a node's copy of the VM list. One node of the region, the reader, reads the list from
+// the platform in each read period and sends the changes to the others, which follow it. A node
+// without a valid reader reads the list itself. Must only be used on the transport's event loop.
 template<peer::PeerTransport Transport>
 class SharedVmList
 {
 public:
   struct Hooks
   {
-    // Whether this node is the reader, as far as it knows.
-    std::function<bool()> mOwns;
-    // Where changes go.
+    // Whether this node is the reader by its own view of the members.
+    std::function<bool()> mIsReader;
+    // Addresses of the nodes that the reader sends its updates to.
     std::function<std::vector<SocketAddress>()> mPeers;
   };
 
@@ -52,138 +55,142 @@
     , mIncarnation(aIncarnation)
     , mHooks(std::move(aHooks))
     , mSettings(aSettings)
-    , mReliance(aSettings.mReliance)
+    , mFollowedReader(aSettings.mFollowedReader)
     , mList(aLoop, aListSettings, std::move(aOnRead))
   {
-    mList.SkipIf([this] { return MayRest(); });
+    mList.SkipIf([this] { return ShouldSkipRead(); });
     mList.OnChange([this](const VmSet& aBefore) { OnChange(aBefore); });
     mTransport.Handle(kMethod, [weak = std::weak_ptr(mAlive)](const Json& aBody,
                                                               const peer::ReplyFunction& aReply) {
       if (const auto self = weak.lock()) {
-        (*self)->OnBatch(aBody);
+        (*self)->OnReaderUpdate(aBody);
       }
       aReply(Json::object());
     });
-    mCheck = aLoop.Every(mSettings.mCheckPeriod, [this] { Check(); });
+    mCheckTimer = aLoop.Every(mSettings.mCheckPeriod, [this] { CheckReader(); });
   }
   SharedVmList(const SharedVmList&) = delete;
   SharedVmList& operator=(const SharedVmList&) = delete;
 
-  // The payload of this node's heartbeats; null unless it is the reader.
+  // Returns the payload for this node's answers to heartbeats; null unless it is the reader and has
+  // read the list.
   Json WritePayload() const
   {
-    if (!mList.LastRead() || !mHooks.mOwns()) {
+    if (!mList.LastRead() || !mHooks.mIsReader()) {
       return nullptr;
     }
-    return WriteListAssurance(
+    return WriteVmListStatus(
       { mSequence, mList.Content().Hash(),
         std::chrono::ceil<Duration>(std::chrono::steady_clock::now() - *mList.LastRead()) });
   }
 
-  // Takes the payload that a member of the region sent in answer to a heartbeat.
+  // Processes the payload that a member of the region sent in answer to the heartbeat of time
+  // aSent.
   void ReadPayload(const NodeId& aNode, std::uint64_t aIncarnation, const Json& aPayload,
                    TimePoint aSent)
   {
-    const auto assurance = ReadListAssurance(aPayload);
-    if (!assurance || !mList.LastRead() || mHooks.mOwns()) {
+    const auto status = ReadVmListStatus(aPayload);
+    if (!status || !mList.LastRead() || mHooks.mIsReader()) {
       return;
     }
-    const auto before = mReliance.Reader();
-    mReliance.Assure(aNode, aIncarnation, *assurance, mList.Content().Hash(), aSent,
-                     std::chrono::steady_clock::now());
-    if (mReliance.Reader() != before) {
-      PlanOwnRead();
-      LogEvent("vm_list_reader").With("member", mReliance.Reader());
+    const auto before = mFollowedReader.Node();
+    mFollowedReader.AcceptStatus(aNode, aIncarnation, *status, mList.Content().Hash(), aSent,
+                                 std::chrono::steady_clock::now());
+    if (mFollowedReader.Node() != before) {
+      ScheduleOwnRead();
+      LogEvent("vm_list_reader").With("member", mFollowedReader.Node());
     }
   }
 
   const VmList& List() const { return mList; }
-  // Whether this node relies on another node's reads.
-  bool IsRelayed() const { return mReliance.Counts(std::chrono::steady_clock::now()); }
+  // Whether this node follows a reader instead of reading the list itself.
+  bool IsRelayed() const { return mFollowedReader.IsValid(std::chrono::steady_clock::now()); }
 
 private:
   static constexpr const char* kMethod = "vms.changed";
 
-  bool MayRest()
+  bool ShouldSkipRead()
   {
     const auto now = std::chrono::steady_clock::now();
-    if (!mReliance.Counts(now) || mHooks.mOwns()) {
+    if (!mFollowedReader.IsValid(now) || mHooks.mIsReader()) {
       return false;
     }
-    if (now < mOwnRead) {
+    if (now < mNextOwnRead) {
       return true;
     }
-    PlanOwnRead();
+    ScheduleOwnRead();
     return false;
   }
 
-  void PlanOwnRead()
+  void ScheduleOwnRead()
   {
-    mOwnRead = std::chrono::steady_clock::now() + mRandom.Jitter(mSettings.mOwnReadPeriod);
+    mNextOwnRead = std::chrono::steady_clock::now() + mRandom.Jitter(mSettings.mOwnReadPeriod);
   }
 
-  void Check()
+  void CheckReader()
   {
-    if (!mReliance.Reader().IsEmpty() && (!IsRelayed() || mHooks.mOwns())) {
-      ReadAlone(mHooks.mOwns() ? "became_reader" : "lapsed");
+    if (!mFollowedReader.Node().IsEmpty() && (!IsRelayed() || mHooks.mIsReader())) {
+      StopFollowing(mHooks.mIsReader() ? "became_reader" : "lapsed");
     }
   }
 
-  void ReadAlone(const char* aReason)
+  // Stops following the reader and reads the list at once.
+  void StopFollowing(const char* aReason)
   {
     LogEvent("vm_list_read_alone").With("reason", aReason);
-    mReliance.End();
+    mFollowedReader.Reset();
     mList.ReadNow();
   }
 
-  // An own read brought another list.
+  // Called when a read by this node has changed the list.
   void OnChange(const VmSet& aBefore)
   {
     ++mSequence;
-    // The list is not the reader's, so the reader's next change doesn't belong to it.
-    if (!mReliance.Reader().IsEmpty()) {
+    // This list differs from the reader's, so the reader's next update can't be applied to it.
+    if (!mFollowedReader.Node().IsEmpty()) {
       LogEvent("vm_list_read_alone").With("reason", "list_differs");
-      mReliance.End();
+      mFollowedReader.Reset();
     }
-    if (!mList.LastRead() || !mHooks.mOwns()) {
+    if (!mList.LastRead() || !mHooks.mIsReader()) {
       return;
     }
-    const VmListBatch batch{ mNode,
-                             mIncarnation,
-                             mSequence,
-                             aBefore.Hash(),
-                             mList.Content().Hash(),
-                             mList.EntityTag(),
-                             mList.Content().Since(aBefore) };
-    const auto body = WriteVmListBatch(batch);
+    const VmListUpdate update{ mNode,
+                               mIncarnation,
+                               mSequence,
+                               aBefore.Hash(),
+                               mList.Content().Hash(),
+                               mList.EntityTag(),
+                               mList.Content().DifferenceSince(aBefore) };
+    const auto body = WriteVmListUpdate(update);
     for (const auto& it : mHooks.mPeers()) {
-      // A lost batch is noticed by the receiver.
+      // Errors are ignored: the receiver detects a lost update by the gap in the sequence, or by a
+      // status with a newer version, which no longer prolongs the reader's validity.
       mTransport.Call(it, kMethod, body, mSettings.mCallTimeout,
                       [](std::error_code, const Json&) {});
     }
   }
 
-  void OnBatch(const Json& aBody)
+  void OnReaderUpdate(const Json& aBody)
   {
-    const auto batch = ReadVmListBatch(aBody);
-    if (!batch) {
+    const auto update = ReadVmListUpdate(aBody);
+    if (!update) {
       return;
     }
-    const auto result =
-      mReliance.Take(*batch, mList.Content().Hash(), std::chrono::steady_clock::now());
-    if (result == ListReliance::Result::Gap) {
-      ReadAlone("gap");
+    const auto result = mFollowedReader.AcceptUpdate(*update, mList.Content().Hash(),
+                                                     std::chrono::steady_clock::now());
+    if (result == FollowedReader::Result::Gap) {
+      StopFollowing("gap");
     }
-    if (result != ListReliance::Result::Next) {
+    if (result != FollowedReader::Result::Next) {
       return;
     }
-    auto content = mList.Content().With(batch->mDifference);
-    if (content.Hash() != batch->mHash) {
-      ReadAlone("hash_differs");
+    auto content = mList.Content().With(update->mDifference);
+    if (content.Hash() != update->mHash) {
+      StopFollowing("hash_differs");
       return;
     }
     ++mSequence;
-    mList.Replace(std::move(content), batch->mEntityTag);
+    mList.Replace(std::move(content), update->mEntityTag);
   }
 
   Transport& mTransport;
@@ -192,13 +199,15 @@
   std::uint64_t mIncarnation;
   Hooks mHooks;
   SharedVmListSettings mSettings;
-  ListReliance mReliance;
-  // Number of this node's content, which changes by its own reads and by batches.
+  FollowedReader mFollowedReader;
+  // Version of this node's list; grows by one with each change, by an own read or a reader's
+  // update.
   std::uint64_t mSequence = 1;
-  TimePoint mOwnRead;
+  // When this node reads the list itself although it follows a reader.
+  TimePoint mNextOwnRead;
   VmList mList;
-  Timer mCheck;
-  // Expires with the list, whose handler the transport may outlive.
+  Timer mCheckTimer;
+  // Guards the handler that the transport may still call after this object is destroyed.
   std::shared_ptr<SharedVmList*> mAlive = std::make_shared<SharedVmList*>(this);
 };
 
--- a/src/membership/Vm.h
+++ b/src/membership/Vm.h
@@ -7,7 +7,7 @@
 
 namespace lovagerock::membership {
 
-// One VM of the platform's list.
+// An entry of the platform's VM list.
 struct Vm
 {
   enum class Role
--- a/src/membership/VmList.cpp
+++ b/src/membership/VmList.cpp
@@ -67,7 +67,7 @@
 VmList::ReadNow()
 {
   if (mReading) {
-    mAgain = true;
+    mReadAgain = true;
     return;
   }
   Read();
@@ -78,7 +78,7 @@
 {
   mContent = std::move(aContent);
   mEntityTag = std::move(aEntityTag);
-  mReplaced = mReading;
+  mReplacedDuringRead = mReading;
   mOnRead(mContent.Vms());
 }
 
@@ -89,8 +89,8 @@
     return;
   }
   ++mReads;
-  mReplaced = false;
-  mBegun = std::chrono::steady_clock::now();
+  mReplacedDuringRead = false;
+  mReadStarted = std::chrono::steady_clock::now();
   http::ClientRequest request;
   request.mServer = mSettings.mServer;
   request.mTarget = mSettings.mPath;
@@ -101,7 +101,7 @@
   mClient.Send(request, [this](std::error_code aError, const http::Response& aResponse) {
     mReading = false;
     OnAnswer(aError, aResponse);
-    if (std::exchange(mAgain, false)) {
+    if (std::exchange(mReadAgain, false)) {
       Read();
     }
   });
@@ -126,7 +126,7 @@
     return;
   }
   ++mWholeReads;
-  if (!mReplaced) {
+  if (!mReplacedDuringRead) {
     const auto before = std::exchange(mContent, VmSet(std::move(*vms)));
     mEntityTag = aResponse.mHeaders.Get("ETag");
     if (mOnChange && before.Hash() != mContent.Hash()) {
@@ -140,9 +140,9 @@
 VmList::OnSuccess()
 {
   mFailures = 0;
-  // What a read said about a list that was replaced since doesn't hold for the present one.
-  if (!mReplaced) {
-    mLastRead = mBegun;
+  // A read that began before Replace() doesn't confirm the content that replaced its own.
+  if (!mReplacedDuringRead) {
+    mLastRead = mReadStarted;
   }
   mOnRead(mContent.Vms());
 }
--- a/src/membership/VmList.h
+++ b/src/membership/VmList.h
@@ -16,12 +16,12 @@
 
 namespace lovagerock::membership {
 
-// Reads a list in the Prometheus HTTP service discovery format. Entries that are malformed or have
-// another role are left out; nothing if the whole text is malformed.
+// Parses a list in the Prometheus HTTP service discovery format. Skips malformed entries and those
+// that are neither entry nodes nor workers. Returns nothing if the text is not a JSON array.
 std::optional<std::vector<Vm>>
 ParseVmList(std::string_view aText);
 
-// Where the VM list is read.
+// Where and how often the VM list is read.
 struct VmListSettings
 {
   SocketAddress mServer;
@@ -30,38 +30,39 @@
   Duration mTimeout{ 2000 };
 };
 
-// Reads the platform's VM list again and again and keeps the last good one. The list lags, so it
-// only seeds the members. Belongs to its loop.
+// Reads the platform's VM list periodically and keeps the last one that was read successfully. The
+// list lags behind the actual VMs, so the membership uses it only to find nodes, not to decide
+// which are alive. Must only be used on its event loop.
 class VmList
 {
 public:
-  // Called after every successful read, also when the list is unchanged, and after Replace().
+  // Called after each successful read, even if the list is unchanged, and after Replace().
   using ReadCallback = std::function<void(const std::vector<Vm>&)>;
-  // Called before the ReadCallback if a read brought another content, with the one before.
+  // Called with the previous content, before the ReadCallback, if a read has changed the content.
   using ChangeCallback = std::function<void(const VmSet& aBefore)>;
 
   VmList(EventLoop& aLoop, const VmListSettings& aSettings, ReadCallback aOnRead);
 
   void OnChange(ChangeCallback aCallback) { mOnChange = std::move(aCallback); }
-  // Leaves out each periodic read for which the function gives true.
+  // Skips each periodic read for which the function returns true.
   void SkipIf(std::function<bool()> aSkip) { mSkip = std::move(aSkip); }
-  // Reads at once, or after the read in progress.
+  // Reads at once, or directly after the read in progress.
   void ReadNow();
-  // Takes a content that another node has read. The answer of a read in progress may be older, and
-  // is dropped.
+  // Replaces the content by one that another node has read. The result of a read in progress may be
+  // older and is discarded.
   void Replace(VmSet aContent, std::string aEntityTag);
 
-  // The last list; empty before the first.
+  // The entries of the last list; empty before the first one.
   const std::vector<Vm>& Vms() const { return mContent.Vms(); }
   const VmSet& Content() const { return mContent; }
   const std::string& EntityTag() const { return mEntityTag; }
-  // When the last successful read began; nothing before the first.
+  // When the last successful read began; nothing before the first one.
   const std::optional<TimePoint>& LastRead() const { return mLastRead; }
-  // Number of reads in a row that failed.
+  // Number of consecutive failed reads.
   int Failures() const { return mFailures; }
-  // Number of reads so far.
+  // Number of reads started so far.
   std::size_t Reads() const { return mReads; }
-  // Number of reads so far that brought the whole list.
+  // Number of reads so far that transferred the whole list, rather than 304 Not Modified.
   std::size_t WholeReads() const { return mWholeReads; }
 
 private:
@@ -75,19 +76,19 @@
   std::function<bool()> mSkip;
   http::HttpClient mClient;
   VmSet mContent;
-  // The version of mContent, if the service gives one. An unchanged list is then not sent again,
-  // which is most of a node's idle traffic.
+  // The ETag of mContent, if the service gives one. The service then doesn't send an unchanged list
+  // again; such transfers would be most of a node's idle traffic.
   std::string mEntityTag;
   int mFailures = 0;
   std::size_t mReads = 0;
   std::size_t mWholeReads = 0;
   bool mReading = false;
   // Another read is due after the one in progress.
-  bool mAgain = false;
-  // The list was replaced during the read in progress.
-  bool mReplaced = false;
+  bool mReadAgain = false;
+  // Replace() was called during the read in progress.
+  bool mReplacedDuringRead = false;
   // When the read in progress, or else the last one, began.
-  TimePoint mBegun;
+  TimePoint mReadStarted;
   std::optional<TimePoint> mLastRead;
   Timer mTimer;
 };
--- a/src/membership/VmListBatch.cpp
+++ b/src/membership/VmListUpdate.cpp
@@ -1,4 +1,4 @@
-#include "membership/VmListBatch.h"
+#include "membership/VmListUpdate.h"
 
 #include <utility>
 #include <vector>
@@ -24,9 +24,9 @@
 }
 
 std::optional<std::vector<Vm>>
-ReadVms(const Json& aBatch, const char* aKey)
+ReadVms(const Json& aUpdate, const char* aKey)
 {
-  const auto json = JsonValue(aBatch, aKey, Json());
+  const auto json = JsonValue(aUpdate, aKey, Json());
   if (!json.is_array()) {
     return std::nullopt;
   }
@@ -52,35 +52,35 @@
 } // namespace detail
 
 Json
-WriteVmListBatch(const VmListBatch& aBatch)
+WriteVmListUpdate(const VmListUpdate& aUpdate)
 {
-  return { { "node", aBatch.mNode.Value() },
-           { "incarnation", aBatch.mIncarnation },
-           { "sequence", aBatch.mSequence },
-           { "base", aBatch.mBase },
-           { "hash", aBatch.mHash },
-           { "tag", aBatch.mEntityTag },
-           { "changed", detail::WriteVms(aBatch.mDifference.mChanged) },
-           { "removed", detail::WriteVms(aBatch.mDifference.mRemoved) } };
+  return { { "node", aUpdate.mNode.Value() },
+           { "incarnation", aUpdate.mIncarnation },
+           { "sequence", aUpdate.mSequence },
+           { "base", aUpdate.mBaseHash },
+           { "hash", aUpdate.mHash },
+           { "tag", aUpdate.mEntityTag },
+           { "changed", detail::WriteVms(aUpdate.mDifference.mChanged) },
+           { "removed", detail::WriteVms(aUpdate.mDifference.mRemoved) } };
 }
 
-std::optional<VmListBatch>
-ReadVmListBatch(const Json& aJson)
+std::optional<VmListUpdate>
+ReadVmListUpdate(const Json& aJson)
 {
-  VmListBatch batch;
-  batch.mNode = NodeId(JsonValue(aJson, "node", std::string()));
-  batch.mIncarnation = JsonValue(aJson, "incarnation", std::uint64_t(0));
-  batch.mSequence = JsonValue(aJson, "sequence", std::uint64_t(0));
-  batch.mBase = JsonValue(aJson, "base", std::uint64_t(0));
-  batch.mHash = JsonValue(aJson, "hash", std::uint64_t(0));
-  batch.mEntityTag = JsonValue(aJson, "tag", std::string());
+  VmListUpdate update;
+  update.mNode = NodeId(JsonValue(aJson, "node", std::string()));
+  update.mIncarnation = JsonValue(aJson, "incarnation", std::uint64_t(0));
+  update.mSequence = JsonValue(aJson, "sequence", std::uint64_t(0));
+  update.mBaseHash = JsonValue(aJson, "base", std::uint64_t(0));
+  update.mHash = JsonValue(aJson, "hash", std::uint64_t(0));
+  update.mEntityTag = JsonValue(aJson, "tag", std::string());
   auto changed = detail::ReadVms(aJson, "changed");
   auto removed = detail::ReadVms(aJson, "removed");
-  if (batch.mNode.IsEmpty() || batch.mSequence == 0 || !changed || !removed) {
+  if (update.mNode.IsEmpty() || update.mSequence == 0 || !changed || !removed) {
     return std::nullopt;
   }
-  batch.mDifference = { std::move(*changed), std::move(*removed) };
-  return batch;
+  update.mDifference = { std::move(*changed), std::move(*removed) };
+  return update;
 }
 
 } // namespace lovagerock::membership
--- a/src/membership/VmSet.cpp
+++ b/src/membership/VmSet.cpp
@@ -43,7 +43,8 @@
   std::reverse(mVms.begin(), mVms.end());
   std::stable_sort(mVms.begin(), mVms.end(), detail::IsBefore);
   mVms.erase(std::unique(mVms.begin(), mVms.end(), detail::HasSameKey), mVms.end());
-  // Starts at 1, so that an empty list differs from none.
+  // Starts at 1, so that an empty list differs from a default-constructed VmSet, which stands for
+  // no list yet.
   mHash = 1;
   for (const auto& it : mVms) {
     mHash += detail::HashVm(it);
@@ -51,7 +52,7 @@
 }
 
 VmDifference
-VmSet::Since(const VmSet& aBefore) const
+VmSet::DifferenceSince(const VmSet& aBefore) const
 {
   VmDifference difference;
   for (const auto& it : mVms) {
--- a/src/membership/VmSet.h
+++ b/src/membership/VmSet.h
@@ -7,33 +7,33 @@
 
 namespace lovagerock::membership {
 
-// What makes one content of the VM list out of another.
+// The changes that turn one content of the VM list into another.
 struct VmDifference
 {
   // New entries, and those whose fields changed.
   std::vector<Vm> mChanged;
-  // Entries that are gone; only address and role count.
+  // Removed entries, which are identified by address and role; their other fields are ignored.
   std::vector<Vm> mRemoved;
 
   bool IsEmpty() const { return mChanged.empty() && mRemoved.empty(); }
 };
 
 // The content of the VM list, ordered by address and role, so that two reads of the same content
-// are equal whatever the order of the service.
+// are equal in whatever order the service lists the entries.
 class VmSet
 {
 public:
   VmSet() = default;
-  // Of two entries with the same address and role the later one counts.
+  // Keeps the last of several entries with the same address and role.
   explicit VmSet(std::vector<Vm> aVms);
 
   const std::vector<Vm>& Vms() const { return mVms; }
-  // Equal for equal contents on every node.
+  // A hash of the content, the same on every node.
   std::uint64_t Hash() const { return mHash; }
 
-  // What has changed since an earlier content.
-  VmDifference Since(const VmSet& aBefore) const;
-  // This content with a difference applied.
+  // Returns the changes from an earlier content to this one.
+  VmDifference DifferenceSince(const VmSet& aBefore) const;
+  // Returns this content with a difference applied.
   VmSet With(const VmDifference& aDifference) const;
 
 private:
--- a/tests/membership/MemberTableTests.cpp
+++ b/tests/membership/MemberTableTests.cpp
@@ -45,7 +45,7 @@
   return MemberState::Suspected;
 }
 
-// Advances second by second, as a node that runs does.
+// Advances the table second by second, as a running node does, and returns the new time.
 TimePoint
 RunFor(MemberTable& aTable, TimePoint aNow, int aSeconds)
 {
@@ -58,11 +58,11 @@
 
 } // namespace
 
-// Guards against work for a dead member, and against members that stay known for ever.
-Test(MemberTable, suspects_a_silent_member_and_forgets_it_later)
+// Guards against work sent to a dead member, and against members that are never removed.
+Test(MemberTable, suspects_a_silent_member_and_removes_it_later)
 {
   MemberTable table(MakeMember("a", 1), {}, kStart);
-  table.Hear(MakeMember("b", 2), kStart);
+  table.RecordHeartbeat(MakeMember("b", 2), kStart);
   auto now = RunFor(table, kStart, 3);
   cr_assert(StateOf(table, "b", now) == MemberState::Live);
   now = RunFor(table, now, 1);
@@ -73,14 +73,15 @@
   cr_assert_eq(table.KnownCount(), 1);
 }
 
-// Guards against a list that lags: it neither hides a member that was heard nor makes one live.
-Test(MemberTable, joins_the_list_with_the_members_heard)
+// Guards against a VM list that lags: a member that sends heartbeats must be known although the
+// list lacks it, and a listed node must not be live before it sends one.
+Test(MemberTable, merges_listed_nodes_with_members_heard_from)
 {
   MemberTable table(MakeMember("a", 1), {}, kStart);
   auto worker = MakeVm(9);
   worker.mRole = Vm::Role::Worker;
   table.SetVmList({ MakeVm(1), MakeVm(3), worker }, kStart);
-  table.Hear(MakeMember("b", 2), kStart);
+  table.RecordHeartbeat(MakeMember("b", 2), kStart);
   cr_assert_eq(table.KnownCount(), 3);
   cr_assert_eq(table.HeartbeatTargets().size(), 2);
   cr_assert_eq(table.LiveNodes({}, kStart).size(), 2);
@@ -88,47 +89,48 @@
   cr_assert_eq(table.KnownCount(), 2);
 }
 
-// Guards against a late message of the old incarnation, and against a restarted node that counts
-// twice in a majority.
+// Guards against a late message of an old incarnation that overwrites the state of the new one, and
+// against a node that restarted under another id and is counted twice in a majority.
 Test(MemberTable, replaces_a_member_by_its_next_incarnation)
 {
   MemberTable table(MakeMember("a", 1), {}, kStart);
   auto old = MakeMember("b", 2, 5);
   old.mLeaving = true;
-  table.Hear(old, kStart);
+  table.RecordHeartbeat(old, kStart);
   // An earlier heartbeat of the same incarnation arrives late.
-  table.Hear(MakeMember("b", 2, 5), kStart);
+  table.RecordHeartbeat(MakeMember("b", 2, 5), kStart);
   cr_assert(StateOf(table, "b", kStart) == MemberState::Leaving);
-  table.Hear(MakeMember("b", 2, 6), kStart);
+  table.RecordHeartbeat(MakeMember("b", 2, 6), kStart);
   cr_assert(StateOf(table, "b", kStart) == MemberState::Live);
-  table.Hear(old, kStart);
+  table.RecordHeartbeat(old, kStart);
   cr_assert(StateOf(table, "b", kStart) == MemberState::Live);
-  table.Hear(MakeMember("c", 2, 7), kStart);
+  table.RecordHeartbeat(MakeMember("c", 2, 7), kStart);
   cr_assert_eq(table.Members(kStart).size(), 2);
 }
 
-// Guards against a node that resumes and acts as owner on a view from before its pause, and
-// against answers that waited in a socket during the pause.
-Test(MemberTable, is_unsure_after_a_pause_until_a_fresh_answer)
+// Guards against a resumed node that acts as owner on its view from before the pause, and against
+// confirming the view by an answer that waited in a socket during the pause.
+Test(MemberTable, view_is_unconfirmed_after_a_pause_until_a_new_answer)
 {
   MemberTable table(MakeMember("a", 1), {}, kStart);
   const auto peer = MakeMember("b", 2);
-  table.HearAnswer(peer, kStart, kStart);
+  table.RecordAnswer(peer, kStart, kStart);
   cr_assert_not(table.IsUnsure());
   const auto resumed = kStart + seconds(10);
   table.Advance(resumed);
   cr_assert(table.IsUnsure());
-  table.Hear(peer, resumed);
-  table.HearAnswer(peer, kStart + seconds(1), resumed);
+  table.RecordHeartbeat(peer, resumed);
+  table.RecordAnswer(peer, kStart + seconds(1), resumed);
   cr_assert(table.IsUnsure());
   RunFor(table, resumed, 10);
   cr_assert(table.IsUnsure());
-  table.HearAnswer(peer, resumed + seconds(10), resumed + seconds(10));
+  table.RecordAnswer(peer, resumed + seconds(10), resumed + seconds(10));
   cr_assert_not(table.IsUnsure());
 }
 
-// Guards against a node that can't start alone, and one that takes over before it heard others.
-Test(MemberTable, is_unsure_at_the_start_for_a_limited_time)
+// Guards against a node that never becomes able to work while all others are down, and against one
+// that acts as owner before the others could answer.
+Test(MemberTable, view_is_unconfirmed_at_the_start_for_a_limited_time)
 {
   MemberTable table(MakeMember("a", 1), {}, kStart);
   table.SetVmList({ MakeVm(2) }, kStart);
@@ -140,9 +142,9 @@
   cr_assert_not(alone.IsUnsure());
 }
 
-// Guards against keys that all move when one node leaves, and against a node that owns far too
-// many of them.
-Test(Rendezvous, moves_only_the_keys_of_the_lost_node)
+// Guards against keys of other nodes that move when one node leaves, and against an uneven
+// distribution of the keys.
+Test(Rendezvous, moves_only_the_keys_of_the_removed_node)
 {
   std::vector<NodeId> nodes{ NodeId("a"), NodeId("b"), NodeId("c"), NodeId("d") };
   const std::vector<NodeId> fewer{ NodeId("d"), NodeId("a"), NodeId("b") };
--- a/tests/membership/MembershipTests.cpp
+++ b/tests/membership/MembershipTests.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-// Shorter than the defaults, so that the tests don't wait for seconds.
+// Time limits below the defaults, so that the tests don't wait for seconds.
 MembershipSettings
 ShortTimes()
 {
@@ -57,7 +57,7 @@
     return vm;
   }
 
-  // Whether it sees the node in the state.
+  // Whether this node has the other as a member of the given state and incarnation.
   bool Sees(const std::string& aNode, MemberState aState, std::uint64_t aIncarnation = 1) const
   {
     for (const auto& it : mMembership->Members()) {
@@ -105,7 +105,8 @@
 
 } // namespace
 
-// Guards against a node that the list of the others does not show yet.
+// Guards against a node that stays unknown to those whose VM list lacks it: it must become a member
+// by its own heartbeat.
 Test(Membership, learns_members_from_heartbeats)
 {
   Fixture f;
@@ -118,9 +119,9 @@
   cr_assert(f.mFirst->mMembership->OwnerOf("planner/west", RegionId("west")).IsEmpty());
 }
 
-// Guards against age arithmetic with the time of arrival, which would make an answer look fresher
-// than it is.
-Test(Membership, gives_payloads_with_the_time_of_the_request)
+// Guards against computing a payload's age from the arrival of the answer instead of the time when
+// the heartbeat was sent, which would make the payload look newer than it is.
+Test(Membership, passes_payloads_with_the_send_time_of_the_heartbeat)
 {
   Fixture f;
   const auto start = std::chrono::steady_clock::now();
@@ -138,8 +139,8 @@
   f.WaitUntil([&] { return version == 7; });
 }
 
-// Guards against a leaving node that keeps the planner role until its next heartbeat.
-Test(Membership, tells_others_at_once_that_it_leaves)
+// Guards against a leaving node that the others take for the planner until its next heartbeat.
+Test(Membership, announces_at_once_that_it_is_leaving)
 {
   Fixture f;
   f.WaitUntilJoined();
@@ -152,7 +153,8 @@
   f.WaitUntil([&] { return f.mFirst->mMembership->OwnerOf("key") == NodeId("b"); });
 }
 
-// Guards against a restart that is taken for the member that was there before.
+// Guards against a stopped node that still owns keys, and against a restarted node that is taken
+// for its previous incarnation.
 Test(Membership, suspects_a_stopped_node_and_sees_its_restart)
 {
   Fixture f;
@@ -165,8 +167,8 @@
   f.WaitUntil([&] { return f.mFirst->Sees("b", MemberState::Live, 2); });
 }
 
-// Guards against a resumed node that acts before its first timer has noticed the pause.
-Test(Membership, is_unsure_right_after_a_pause)
+// Guards against a resumed node that acts on its old view before a timer has detected the pause.
+Test(Membership, view_is_unconfirmed_right_after_a_pause)
 {
   Fixture f;
   f.WaitUntilJoined();
@@ -206,7 +208,7 @@
   cr_assert_not(ParseVmList("{}"));
 }
 
-// Guards against a failing list that takes all members away.
+// Guards against losing all entries when the list service returns an error or malformed text.
 Test(VmList, keeps_the_last_list_while_reading_fails)
 {
   EventLoop loop;
@@ -233,9 +235,9 @@
   cr_assert_eq(list.Vms().size(), 1);
 }
 
-// Guards against a list that is lost, or sent again each second, when the service says that it is
-// unchanged.
-Test(VmList, asks_for_the_list_only_if_it_changed)
+// Guards against transferring an unchanged list with each read, and against losing the list on
+// 304 Not Modified.
+Test(VmList, transfers_the_list_only_if_it_has_changed)
 {
   EventLoop loop;
   const auto limit = loop.After(Duration(60000), [] { cr_assert_fail("test did not finish"); });
--- a/tests/membership/SharedVmListTests.cpp
+++ b/tests/membership/SharedVmListTests.cpp
@@ -27,7 +27,7 @@
 using Clock = std::chrono::system_clock;
 
 const NodeId kReader("a");
-constexpr Duration kLong{ 3600000 };
+constexpr Duration kLongValidity{ 3600000 };
 
 Vm
 Worker(std::uint16_t aPort, bool aLeaving)
@@ -39,13 +39,15 @@
   return vm;
 }
 
-// The list service. Each node reads its own path, so that it can be cut off alone.
+// The service that serves the VM list. Each node reads its own path, so that reads can fail for one
+// node alone.
 struct ListService
 {
   http::HttpServer mServer;
   std::string mState = "live";
-  // Which nodes get an error, or no answer at all.
+  // Names of the nodes that get an error.
   std::string mFailing;
+  // Names of the nodes that get no answer.
   std::string mHanging;
   std::vector<http::Responder> mUnanswered;
   std::map<std::string, std::size_t> mReads;
@@ -74,7 +76,7 @@
         }
       });
   }
-  // Ends the hanging reads without a list.
+  // Answers the hanging reads with an error, and later ones normally.
   void Release()
   {
     mHanging.clear();
@@ -84,20 +86,20 @@
   }
 };
 
-// A node that shares the list with short times.
+// A node with a shared VM list whose periods are short.
 struct ListNode
 {
   using List = SharedVmList<NghttpTransport>;
 
   NghttpTransport mTransport;
-  bool mOwns;
+  bool mIsReader;
   std::vector<SocketAddress> mPeers;
   std::unique_ptr<List> mList;
 
   ListNode(EventLoop& aLoop, Random& aRandom, const ListService& aService, const char* aNode,
-           bool aOwns, Duration aValidity)
+           bool aIsReader, Duration aValidity)
     : mTransport(aLoop, aRandom)
-    , mOwns(aOwns)
+    , mIsReader(aIsReader)
   {
     cr_assert_not(mTransport.Listen(testing::LocalAddress()));
     VmListSettings settings;
@@ -106,15 +108,15 @@
     settings.mPeriod = Duration(50);
     mList = std::make_unique<List>(
       aLoop, mTransport, aRandom, NodeId(aNode), 1,
-      List::Hooks{ [this] { return mOwns; }, [this] { return mPeers; } }, settings,
+      List::Hooks{ [this] { return mIsReader; }, [this] { return mPeers; } }, settings,
       [](const std::vector<Vm>&) {},
-      SharedVmListSettings{ .mReliance = { aValidity, 2 * aValidity },
+      SharedVmListSettings{ .mFollowedReader = { aValidity, 2 * aValidity },
                             .mCheckPeriod = Duration(20),
                             .mCallTimeout = Duration(30000),
                             .mOwnReadPeriod = Duration(3600000) });
   }
-  // Takes the answer to a heartbeat.
-  void Hear(const char* aNode, const ListNode& aOther) const
+  // Processes the payload of aOther's answer to a heartbeat.
+  void ReceiveAnswer(const char* aNode, const ListNode& aOther) const
   {
     mList->ReadPayload(NodeId(aNode), 1, aOther.mList->WritePayload(),
                        std::chrono::steady_clock::now());
@@ -125,7 +127,7 @@
   }
 };
 
-// The node "a" reads for "b".
+// The node "a" is the reader, which "b" follows.
 struct ListFixture
 {
   EventLoop mLoop;
@@ -134,20 +136,21 @@
   std::unique_ptr<ListNode> mFirst;
   std::unique_ptr<ListNode> mSecond;
   Timer mLimit = mLoop.After(Duration(60000), [] { cr_assert_fail("test did not finish"); });
-  // Stands for the heartbeats from the second node to the first.
-  Timer mHeartbeats = mLoop.Every(Duration(50), [this] { mSecond->Hear("a", *mFirst); });
+  // Replaces the heartbeats from the second node to the first.
+  Timer mHeartbeats = mLoop.Every(Duration(50), [this] { mSecond->ReceiveAnswer("a", *mFirst); });
 
-  // Tests in which a reliance must not lapse take a long validity, because the machine may stall.
+  // Tests in which the reader must stay valid need a long validity, because the test may be delayed
+  // on a busy machine.
   explicit ListFixture(Duration aValidity = Duration(1000))
     : mFirst(std::make_unique<ListNode>(mLoop, mRandom, mService, "a", true, aValidity))
     , mSecond(std::make_unique<ListNode>(mLoop, mRandom, mService, "b", false, aValidity))
   {
     mFirst->mPeers = { mSecond->mTransport.Address() };
-    WaitUntil([&] { return IsResting("b", *mSecond); });
+    WaitUntil([&] { return IsFollowingIdle("b", *mSecond); });
   }
 
-  // Whether the node relies on a reader, and no read of its own is under way to the service.
-  bool IsResting(const char* aName, const ListNode& aNode)
+  // Whether the node follows a reader, and each read that it started has reached the service.
+  bool IsFollowingIdle(const char* aName, const ListNode& aNode)
   {
     return aNode.mList->IsRelayed() && aNode.mList->List().Reads() == mService.mReads[aName];
   }
@@ -165,10 +168,11 @@
 
 } // namespace
 
-// Guards against a change that each node reads whole, and one that the others don't learn.
-Test(SharedVmList, takes_changes_from_the_reader_without_reading)
+// Guards against a changed list that each node reads itself, and against changes that don't reach
+// the other nodes.
+Test(SharedVmList, applies_the_readers_updates_without_reading)
 {
-  ListFixture f(kLong);
+  ListFixture f(kLongValidity);
   const auto reads = f.mSecond->mList->List().Reads();
   for (const char* state : { "leaving", "live", "leaving" }) {
     f.mService.mState = state;
@@ -177,15 +181,15 @@
   cr_assert(f.mSecond->mList->IsRelayed());
   cr_assert_eq(f.mSecond->mList->List().Reads(), reads);
   cr_assert_eq(f.mService.mWholeReads["b"], 1);
-  // The content came with its entity tag, so that an own read later is short.
-  f.mSecond->mOwns = true;
+  // The update contains the ETag, so that a later read by this node gets 304 Not Modified.
+  f.mSecond->mIsReader = true;
   f.WaitUntil([&] { return f.mSecond->mList->List().Reads() > reads + 2; });
   cr_assert_eq(f.mService.mWholeReads["b"], 1);
 }
 
-// Guards against a list that nobody reads, and work for a leaving worker, after the reader was
-// killed, or after a batch was lost.
-Test(SharedVmList, reads_itself_without_the_reader_or_a_batch)
+// Guards against a list that stays outdated, so that a leaving worker gets work, after the reader
+// was killed or an update was lost.
+Test(SharedVmList, reads_the_list_itself_without_the_reader_or_after_a_lost_update)
 {
   for (const bool killed : { true, false }) {
     ListFixture f;
@@ -203,9 +207,10 @@
   }
 }
 
-// Guards against a reader that answers heartbeats with an old list, because its own reads hang or
-// because it was paused, and against nodes that lose the list or rest while the service is down.
-Test(SharedVmList, does_not_rely_on_a_reader_whose_reads_hang_or_fail)
+// Guards against following a reader that answers heartbeats with an old list, because its reads
+// hang or it was paused, and against nodes that lose the list or stop reading while the service is
+// down.
+Test(SharedVmList, does_not_follow_a_reader_whose_reads_hang_or_fail)
 {
   ListFixture f;
   f.mService.mHanging = "a";
@@ -213,11 +218,11 @@
   f.WaitUntil([&] { return f.mSecond->SeesLeaving(); });
   cr_assert_not(f.mFirst->SeesLeaving());
   cr_assert_not(f.mSecond->mList->IsRelayed());
-  // The reader goes on; its late change is not a newer one.
+  // The reader's reads succeed again; its late update must not undo the newer list of this node.
   f.mService.Release();
   f.WaitUntil([&] { return f.mSecond->mList->IsRelayed(); });
   cr_assert(f.mSecond->SeesLeaving());
-  // The service is down for all: the list is kept.
+  // The service fails for all nodes: they keep the list.
   f.mService.mFailing = "ab";
   f.WaitUntil([&] { return f.mSecond->mList->List().Failures() >= 2; });
   cr_assert(f.mSecond->SeesLeaving());
@@ -226,25 +231,25 @@
   f.WaitUntil([&] { return !f.mSecond->SeesLeaving() && f.mSecond->mList->IsRelayed(); });
 }
 
-// Guards against a node without a list, or with an older one, that relies on the reader, and
-// against two readers that make a node fall back to an older list.
-Test(SharedVmList, starts_alone_and_bears_two_readers)
+// Guards against a node that follows a reader before it has read the reader's current list itself,
+// and against two readers that make a node go back to an older list.
+Test(SharedVmList, reads_the_list_itself_at_the_start_and_tolerates_two_readers)
 {
-  ListFixture f(kLong);
+  ListFixture f(kLongValidity);
   f.mService.mState = "leaving";
   f.mService.mHanging = "c";
-  ListNode third(f.mLoop, f.mRandom, f.mService, "c", false, kLong);
+  ListNode third(f.mLoop, f.mRandom, f.mService, "c", false, kLongValidity);
   f.mFirst->mPeers.push_back(third.mTransport.Address());
   const auto heartbeats = f.mLoop.Every(Duration(50), [&] {
-    third.Hear("a", *f.mFirst);
-    third.Hear("b", *f.mSecond);
+    third.ReceiveAnswer("a", *f.mFirst);
+    third.ReceiveAnswer("b", *f.mSecond);
   });
   f.WaitUntil([&] { return f.mSecond->SeesLeaving(); });
   cr_assert_not(third.mList->IsRelayed());
   cr_assert(third.mList->List().Vms().empty());
   f.mService.Release();
-  f.WaitUntil([&] { return third.SeesLeaving() && f.IsResting("c", third); });
-  f.mSecond->mOwns = true;
+  f.WaitUntil([&] { return third.SeesLeaving() && f.IsFollowingIdle("c", third); });
+  f.mSecond->mIsReader = true;
   f.mSecond->mPeers = f.mFirst->mPeers;
   f.mService.mState = "live";
   f.WaitUntil([&] { return !f.mSecond->SeesLeaving() && !third.SeesLeaving(); });
@@ -252,8 +257,8 @@
   cr_assert_eq(f.mService.mWholeReads["c"], 1);
 }
 
-// Guards against one node that bears all whole reads, and a planner that has to.
-Test(ListReader, changes_with_time_and_is_not_the_planner)
+// Guards against one node that always has the reader's traffic, and against selecting the planner.
+Test(ListReader, changes_over_time_and_is_not_the_planner)
 {
   const RegionId region("east");
   const std::vector<NodeId> nodes{ kReader, NodeId("b"), NodeId("c"), NodeId("d") };
@@ -267,39 +272,46 @@
   cr_assert(ListReaderOf(region, {}, {}).IsEmpty());
 }
 
-// Guards against late, missing and foreign batches, and assurances that count for too long.
-Test(ListReliance, counts_only_on_the_latest_content_of_a_reader_in_time)
+// Guards against accepting late updates, updates after a gap and those of other nodes, and against
+// a status that stays valid for too long.
+Test(FollowedReader, is_valid_only_with_the_readers_current_list_and_until_the_time_limit)
 {
   const TimePoint start{ Duration(100000) };
   const auto at = [&](int aMs) { return start + Duration(aMs); };
-  const auto batch = [](const char* aNode, std::uint64_t aSequence, std::uint64_t aBase) {
-    return VmListBatch{ NodeId(aNode), 1, aSequence, aBase, aBase + 1, "", {} };
+  const auto update = [](const char* aNode, std::uint64_t aSequence, std::uint64_t aBase) {
+    return VmListUpdate{ NodeId(aNode), 1, aSequence, aBase, aBase + 1, "", {} };
   };
-  ListReliance reliance({ Duration(1300), Duration(2600) });
-  // A resumed reader with an old list, and one with another list.
-  reliance.Assure(kReader, 1, { 5, 70, Duration(2600) }, 70, start, start);
-  cr_assert_not(reliance.Counts(start));
-  reliance.Assure(kReader, 1, { 5, 71, Duration(0) }, 70, start, start);
-  cr_assert_not(reliance.Counts(start));
-  // An old read shortens the validity.
-  reliance.Assure(kReader, 1, { 5, 70, Duration(1600) }, 70, start, start);
-  cr_assert(reliance.Counts(at(999)));
-  cr_assert_not(reliance.Counts(at(1000)));
-  cr_assert_eq(reliance.Take(batch("b", 6, 70), 70, at(1)), ListReliance::Result::Ignored);
-  cr_assert_eq(reliance.Take(batch("a", 5, 70), 70, at(1)), ListReliance::Result::Ignored);
-  cr_assert_eq(reliance.Take(batch("a", 6, 70), 70, at(1)), ListReliance::Result::Next);
-  // A content that hasn't come doesn't count, nor one of another incarnation.
-  reliance.Assure(kReader, 1, { 7, 72, Duration(0) }, 71, at(500), at(500));
-  reliance.Assure(kReader, 2, { 6, 71, Duration(0) }, 71, at(500), at(500));
-  cr_assert_not(reliance.Counts(at(1000)));
-  cr_assert_eq(reliance.Take(batch("a", 7, 71), 71, at(1000)), ListReliance::Result::Ignored);
-  reliance.Assure(kReader, 1, { 6, 71, Duration(0) }, 71, at(1000), at(1000));
-  cr_assert_eq(reliance.Take(batch("a", 8, 71), 71, at(1001)), ListReliance::Result::Gap);
-  cr_assert_not(reliance.Counts(at(1001)));
+  FollowedReader followed({ Duration(1300), Duration(2600) });
+  // Not followed: a reader whose last read is too old, and one whose list differs.
+  followed.AcceptStatus(kReader, 1, { 5, 70, Duration(2600) }, 70, start, start);
+  cr_assert_not(followed.IsValid(start));
+  followed.AcceptStatus(kReader, 1, { 5, 71, Duration(0) }, 70, start, start);
+  cr_assert_not(followed.IsValid(start));
+  // The validity ends early if the reader's last read is old.
+  followed.AcceptStatus(kReader, 1, { 5, 70, Duration(1600) }, 70, start, start);
+  cr_assert(followed.IsValid(at(999)));
+  cr_assert_not(followed.IsValid(at(1000)));
+  cr_assert_eq(followed.AcceptUpdate(update("b", 6, 70), 70, at(1)),
+               FollowedReader::Result::Ignored);
+  cr_assert_eq(followed.AcceptUpdate(update("a", 5, 70), 70, at(1)),
+               FollowedReader::Result::Ignored);
+  cr_assert_eq(followed.AcceptUpdate(update("a", 6, 70), 70, at(1)), FollowedReader::Result::Next);
+  // A status with a version that hasn't arrived doesn't prolong the validity, nor does one of
+  // another incarnation.
+  followed.AcceptStatus(kReader, 1, { 7, 72, Duration(0) }, 71, at(500), at(500));
+  followed.AcceptStatus(kReader, 2, { 6, 71, Duration(0) }, 71, at(500), at(500));
+  cr_assert_not(followed.IsValid(at(1000)));
+  cr_assert_eq(followed.AcceptUpdate(update("a", 7, 71), 71, at(1000)),
+               FollowedReader::Result::Ignored);
+  followed.AcceptStatus(kReader, 1, { 6, 71, Duration(0) }, 71, at(1000), at(1000));
+  cr_assert_eq(followed.AcceptUpdate(update("a", 8, 71), 71, at(1001)),
+               FollowedReader::Result::Gap);
+  cr_assert_not(followed.IsValid(at(1001)));
 }
 
-// Guards against differences that lose entries, and malformed bodies.
-Test(VmSet, differences_survive_a_call)
+// Guards against differences that lose entries when they are sent, and against accepting malformed
+// bodies.
+Test(VmSet, differences_are_unchanged_by_serialization)
 {
   const VmSet before({ Worker(1, false), Worker(2, false), Worker(2, true) });
   auto entry = Worker(2, false);
@@ -309,16 +321,18 @@
   cr_assert_eq(before.Vms().size(), 2);
   cr_assert(before.Vms()[1].mLeaving);
   cr_assert_neq(VmSet(std::vector<Vm>()).Hash(), VmSet().Hash());
-  VmListBatch batch{ kReader, 1, 2, before.Hash(), after.Hash(), "t", after.Since(before) };
-  auto json = WriteVmListBatch(batch);
-  const auto read = ReadVmListBatch(json);
-  cr_assert(read->mEntityTag == "t" && read->mBase == before.Hash());
+  VmListUpdate update{
+    kReader, 1, 2, before.Hash(), after.Hash(), "t", after.DifferenceSince(before)
+  };
+  auto json = WriteVmListUpdate(update);
+  const auto read = ReadVmListUpdate(json);
+  cr_assert(read->mEntityTag == "t" && read->mBaseHash == before.Hash());
   cr_assert(before.With(read->mDifference).Vms() == after.Vms());
   cr_assert_eq(before.With(read->mDifference).Hash(), after.Hash());
   json["changed"][0]["address"] = "x";
-  cr_assert_not(ReadVmListBatch(json));
-  cr_assert_not(ReadVmListBatch(Json(5)));
+  cr_assert_not(ReadVmListUpdate(json));
+  cr_assert_not(ReadVmListUpdate(Json(5)));
   for (const auto& it : { Json(), Json(7), Json{ { "sequence", 1 }, { "age_ms", -1 } } }) {
-    cr_assert_not(ReadListAssurance(it));
+    cr_assert_not(ReadVmListStatus(it));
   }
 }
