--- a/bench/BaselinePolicy.cpp
+++ b/bench/BaselinePolicy.cpp
@@ -18,9 +18,10 @@
   return aNeed.mIsPinned ? aModel.Pinnable(aWorker) : aModel.Free(aWorker);
 }
 
-// The first domain that holds the gang in the given order of domains and workers.
+// Returns a placement in the first domain that holds the whole gang, in the baseline's order of
+// domains and workers; empty if no domain does.
 Placement
-Find(const ClusterModel& aModel, const GangNeed& aNeed, Baseline aBaseline)
+FindPlacement(const ClusterModel& aModel, const GangNeed& aNeed, Baseline aBaseline)
 {
   auto domains = aModel.GetTopology().Domains(aNeed.mAdjacency);
   if (aBaseline == Baseline::BestFit) {
@@ -48,9 +49,10 @@
   return {};
 }
 
-// Whether the job starts on its account's own capacity now or once borrowers are reclaimed.
+// Starts the job on its account's assigned capacity, or plans the reclaim of borrowers there and
+// lets the job wait for it. Returns false if neither makes enough room.
 bool
-StartOnOwn(PlanContext& aContext, QueuedJob& aJob)
+StartOnAssignedCapacity(PlanContext& aContext, QueuedJob& aJob)
 {
   auto& model = aContext.mModel;
   const auto& need = aJob.mNeed;
@@ -112,14 +114,14 @@
   auto queue = detail::QueueJobs(context);
   for (auto& it : queue) {
     if (!model.OwnWorkers(it.mNeed.mAccount).empty()) {
-      detail::StartOnOwn(context, it);
+      detail::StartOnAssignedCapacity(context, it);
     }
   }
   for (auto& it : queue) {
     if (it.mIsSettled) {
       continue;
     }
-    const auto found = detail::Find(model, it.mNeed, aBaseline);
+    const auto found = detail::FindPlacement(model, it.mNeed, aBaseline);
     if (!found.empty()) {
       context.Start(it, found, CapacityClass::Borrowed);
     } else if (aBaseline == Baseline::FirstFit) {
--- a/bench/BaselinePolicy.h
+++ b/bench/BaselinePolicy.h
@@ -6,14 +6,17 @@
 
 enum class Baseline
 {
-  // In order of submission, into the first place that fits; the first waiting job blocks the rest.
+  // Places jobs in order of submission on the first workers that fit. The first job that doesn't
+  // fit blocks all later ones.
   FirstFit,
-  // Every job that fits, into the fullest domain and worker that hold it.
+  // Places each job that fits, in order of submission, in the domain with the fewest free
+  // accelerators that holds it, on its workers with the fewest free accelerators first.
   BestFit,
 };
 
-// A plan without fair share, reservations and moves. The guarantees of the snapshot are enforced:
-// jobs that fit their account's assigned capacity start there and reclaim what is lent of it.
+// Computes a plan without fair share, reservations and moves. Enforces the guarantees of the
+// snapshot: jobs that fit into their account's assigned capacity start there, and borrowers of it
+// are reclaimed.
 Plan
 ComputeBaseline(const ClusterSnapshot& aSnapshot, PlannerState& aState, Baseline aBaseline);
 
--- a/bench/GuaranteeDemands.cpp
+++ b/bench/GuaranteeDemands.cpp
@@ -6,7 +6,7 @@
 namespace lovagerock::placement::replay {
 
 void
-GuaranteeDemands::Note(const ClusterSnapshot& aSnapshot, PlannerState& aState)
+GuaranteeDemands::Update(const ClusterSnapshot& aSnapshot, PlannerState& aState)
 {
   if (aState.mAssignment.empty()) {
     return;
@@ -18,34 +18,38 @@
     waiting.push_back(&it);
   }
   std::ranges::stable_sort(waiting, {}, &PendingJob::mSubmitted);
-  NoteDemanded(context, waiting);
-  NoteBlocked(context, waiting);
+  UpdateDemanded(context, waiting);
+  UpdateBlockedByOthers(context, waiting);
 }
 
 void
-GuaranteeDemands::NoteDemanded(const PlanContext& aContext, std::vector<const PendingJob*> aWaiting)
+GuaranteeDemands::UpdateDemanded(const PlanContext& aContext,
+                                 std::vector<const PendingJob*> aWaiting)
 {
   std::ranges::stable_sort(aWaiting, {},
                            [&](const PendingJob* aJob) { return !mDemanded.contains(aJob->mJob); });
   const auto left = [&](int aWorker, int aAccount) {
     return aContext.mModel.ShareLeft(aWorker, aAccount);
   };
-  Shares taken;
+  ReservedShares reserved;
   for (const auto* it : aWaiting) {
-    Set(mDemanded, it->mJob, TakeShare(aContext, *it, left, taken), aContext.mSnapshot.mNow);
+    Set(mDemanded, it->mJob, ReserveShare(aContext, *it, left, reserved), aContext.mSnapshot.mNow);
   }
 }
 
-// Work that the account has on its own capacity without being guaranteed is its own use, and a job
-// that fits the whole assigned capacity keeps the account's later ones waiting.
+// All work of an account on its assigned workers counts as the account's own use, even if it runs
+// without the guarantee. A job that fits only into the account's whole assigned capacity blocks the
+// account's later jobs.
 void
-GuaranteeDemands::NoteBlocked(const PlanContext& aContext,
-                              const std::vector<const PendingJob*>& aWaiting)
+GuaranteeDemands::UpdateBlockedByOthers(const PlanContext& aContext,
+                                        const std::vector<const PendingJob*>& aWaiting)
 {
   const auto& model = aContext.mModel;
-  const auto whole = [&](int aWorker, int aAccount) { return model.ShareOf(aWorker, aAccount); };
+  const auto wholeShare = [&](int aWorker, int aAccount) {
+    return model.ShareOf(aWorker, aAccount);
+  };
   const auto left = [&](int aWorker, int aAccount) {
-    auto share = whole(aWorker, aAccount);
+    auto share = wholeShare(aWorker, aAccount);
     for (const auto& it : model.Leases(aWorker)) {
       if (model.Borrowers()[it.mBorrower].mAccount == aAccount) {
         share -= it.mResources;
@@ -53,32 +57,33 @@
     }
     return share;
   };
-  Shares taken;
-  std::set<AccountId> blocked;
+  ReservedShares reserved;
+  std::set<AccountId> blockedAccounts;
   for (const auto* it : aWaiting) {
-    const bool fits = !blocked.contains(it->mAccount) && TakeShare(aContext, *it, left, taken);
-    Set(mBlocked, it->mJob, fits, aContext.mSnapshot.mNow);
-    Shares none;
-    if (!fits && TakeShare(aContext, *it, whole, none)) {
-      blocked.insert(it->mAccount);
+    const bool fits =
+      !blockedAccounts.contains(it->mAccount) && ReserveShare(aContext, *it, left, reserved);
+    Set(mBlockedByOthers, it->mJob, fits, aContext.mSnapshot.mNow);
+    ReservedShares noReservations;
+    if (!fits && ReserveShare(aContext, *it, wholeShare, noReservations)) {
+      blockedAccounts.insert(it->mAccount);
     }
   }
 }
 
 std::optional<TimePoint>
-GuaranteeDemands::Find(const Times& aTimes, const JobId& aJob)
+GuaranteeDemands::Find(const StartTimes& aStartTimes, const JobId& aJob)
 {
-  const auto it = aTimes.find(aJob);
-  return it == aTimes.end() ? std::nullopt : std::optional(it->second);
+  const auto it = aStartTimes.find(aJob);
+  return it == aStartTimes.end() ? std::nullopt : std::optional(it->second);
 }
 
 void
-GuaranteeDemands::Set(Times& aTimes, const JobId& aJob, bool aDemands, TimePoint aNow)
+GuaranteeDemands::Set(StartTimes& aStartTimes, const JobId& aJob, bool aIsActive, TimePoint aNow)
 {
-  if (aDemands) {
-    aTimes.try_emplace(aJob, aNow);
+  if (aIsActive) {
+    aStartTimes.try_emplace(aJob, aNow);
   } else {
-    aTimes.erase(aJob);
+    aStartTimes.erase(aJob);
   }
 }
 
@@ -86,27 +91,28 @@
 GuaranteeDemands::Forget(const JobId& aJob)
 {
   mDemanded.erase(aJob);
-  mBlocked.erase(aJob);
+  mBlockedByOthers.erase(aJob);
 }
 
 template<typename Left>
 bool
-GuaranteeDemands::TakeShare(const PlanContext& aContext, const PendingJob& aJob, const Left& aLeft,
-                            Shares& aTaken)
+GuaranteeDemands::ReserveShare(const PlanContext& aContext, const PendingJob& aJob,
+                               const Left& aLeft, ReservedShares& aReserved)
 {
   const int account = *aContext.mModel.FindAccount(aJob.mAccount);
   const ResourceVector each(aJob.mResourcesPerTask);
   for (const auto& workers : aContext.OwnDomains(account, aJob.mAdjacency)) {
     Placement placement;
     for (const int it : workers) {
-      const auto left = aContext.mModel.IsUsable(it) ? aLeft(it, account) - aTaken[{ it, account }]
-                                                     : ResourceVector();
+      const auto left = aContext.mModel.IsUsable(it)
+                          ? aLeft(it, account) - aReserved[{ it, account }]
+                          : ResourceVector();
       const int n = left.Fits(each, aJob.mTasks - static_cast<int>(placement.size()));
       placement.insert(placement.end(), n, it);
     }
     if (static_cast<int>(placement.size()) == aJob.mTasks) {
       for (const int it : placement) {
-        aTaken[{ it, account }] += each;
+        aReserved[{ it, account }] += each;
       }
       return true;
     }
--- a/bench/ReplayTrace.cpp
+++ b/bench/ReplayTrace.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 Duration
-Seconds(std::istream& aText)
+ReadSeconds(std::istream& aText)
 {
   double seconds = 0;
   aText >> seconds;
@@ -45,7 +45,8 @@
   std::int64_t memory = 0;
   aText >> workers >> accelerators >> perRack >> zones >> cores >> memory;
   if (!aText || workers < 1 || perRack < 1 || zones < 1) {
-    throw std::runtime_error("bad cluster");
+    throw std::runtime_error("invalid cluster line: needs 6 numbers, and workers, workers per rack "
+                             "and zones of at least 1");
   }
   const int racks = (workers + perRack - 1) / perRack;
   for (int i = 0; i < workers; ++i) {
@@ -96,15 +97,16 @@
   int accelerators = 0;
   ReplayJob job;
   aText >> name;
-  job.mPending.mSubmitted = TimePoint(Seconds(aText));
+  job.mPending.mSubmitted = TimePoint(ReadSeconds(aText));
   aText >> account >> job.mPending.mTasks >> accelerators;
   job.mPending.mAdjacency = ReadAdjacency(aText);
-  job.mPending.mEstimate = Seconds(aText);
-  job.mRun = Seconds(aText);
+  job.mPending.mEstimate = ReadSeconds(aText);
+  job.mRun = ReadSeconds(aText);
   aText >> kind;
-  job.mCheckpoint = Seconds(aText);
+  job.mCheckpoint = ReadSeconds(aText);
   if (!aText || (kind != "idempotent" && kind != "once")) {
-    throw std::runtime_error("bad job");
+    throw std::runtime_error("invalid job line: a column is missing or invalid, or the kind is "
+                             "neither idempotent nor once");
   }
   job.mPending.mIdempotent = kind == "idempotent";
   std::string urgent;
@@ -127,49 +129,49 @@
   if (it == aTrace.mJobs.end()) {
     throw std::runtime_error("unknown job " + name);
   }
-  it->mCancelledAt = TimePoint(Seconds(aText));
+  it->mCancelledAt = TimePoint(ReadSeconds(aText));
   if (*it->mCancelledAt < it->mPending.mSubmitted) {
-    throw std::runtime_error("cancelled before its submission");
+    throw std::runtime_error("the job is cancelled before its submission");
   }
 }
 
 void
 ReadLine(std::istream& aText, ReplayTrace& aTrace)
 {
-  std::string word;
-  aText >> word;
-  if (word == "trace") {
+  std::string keyword;
+  aText >> keyword;
+  if (keyword == "trace") {
     aText >> aTrace.mName;
-  } else if (word == "weights") {
+  } else if (keyword == "weights") {
     aText >> aTrace.mWeights.mCompletionTime >> aTrace.mWeights.mFragmentation;
-  } else if (word == "cluster") {
+  } else if (keyword == "cluster") {
     ReadCluster(aText, aTrace);
-  } else if (word == "account") {
+  } else if (keyword == "account") {
     AccountView account;
     std::string name;
     aText >> name >> account.mWeight;
     account.mAccount = AccountId(name);
     aTrace.mAccounts.push_back(std::move(account));
-  } else if (word == "guarantee") {
+  } else if (keyword == "guarantee") {
     ReadGuarantee(aText, aTrace);
-  } else if (word == "job") {
+  } else if (keyword == "job") {
     ReadJob(aText, aTrace);
-  } else if (word == "cancel") {
+  } else if (keyword == "cancel") {
     ReadCancel(aText, aTrace);
-  } else if (word == "fault") {
+  } else if (keyword == "fault") {
     ReplayFault fault;
     aText >> fault.mWorker;
-    fault.mAt = TimePoint(Seconds(aText));
-    fault.mFor = Seconds(aText);
+    fault.mAt = TimePoint(ReadSeconds(aText));
+    fault.mDuration = ReadSeconds(aText);
     if (fault.mWorker >= aTrace.mWorkers.size()) {
-      throw std::runtime_error("unknown worker");
+      throw std::runtime_error("the fault names an unknown worker");
     }
     aTrace.mFaults.push_back(fault);
   } else {
-    throw std::runtime_error("unknown line " + word);
+    throw std::runtime_error("unknown keyword " + keyword);
   }
   if (!aText) {
-    throw std::runtime_error("missing column");
+    throw std::runtime_error("a column is missing or invalid");
   }
 }
 
@@ -181,7 +183,7 @@
 {
   std::ifstream file(aPath);
   if (!file) {
-    throw std::runtime_error(aPath + ": can't be opened");
+    throw std::runtime_error(aPath + ": cannot open the trace file");
   }
   ReplayTrace trace;
   int number = 0;
--- a/bench/ReplayTrace.h
+++ b/bench/ReplayTrace.h
@@ -14,20 +14,21 @@
 {
   PendingJob mPending;
   Duration mRun{ 0 };
-  // How often the job saves its progress; 0 if it can't.
+  // Time between two checkpoints; 0 if the job has none.
   Duration mCheckpoint{ 0 };
   std::optional<TimePoint> mCancelledAt;
 };
 
-// A worker that loses all its work and takes none until the end.
+// A failure of a worker, which loses all its work and takes none until the failure ends.
 struct ReplayFault
 {
   std::size_t mWorker = 0;
   TimePoint mAt;
-  Duration mFor{ 0 };
+  Duration mDuration{ 0 };
 };
 
-// A cluster and what happens to it. docs/placement.md describes the file format.
+// A cluster with its accounts, and the jobs and worker failures over time. docs/placement.md
+// describes the file format.
 struct ReplayTrace
 {
   std::string mName;
@@ -38,7 +39,8 @@
   std::vector<ReplayFault> mFaults;
 };
 
-// Throws std::runtime_error with the line number when the file can't be read.
+// Reads a trace file. Throws std::runtime_error if it can't be opened or a line is invalid; the
+// message then gives the line number.
 ReplayTrace
 ReadReplayTrace(const std::string& aPath);
 
--- a/bench/TraceGenerator.cpp
+++ b/bench/TraceGenerator.cpp
@@ -12,25 +12,26 @@
 namespace detail {
 namespace {
 
-// A kind of job. Times are in minutes.
-struct Load
+// A class of similar jobs, and how many of them arrive on an ordinary and on a peak day. Times are
+// in minutes.
+struct JobClass
 {
   const char* mName;
   const char* mAccount;
-  int mOnDay;
-  int mAtPeak;
-  double mFrom;
-  double mTo;
+  int mDayJobs;
+  int mPeakJobs;
+  double mFirstArrival;
+  double mLastArrival;
   int mTasks;
   int mAccelerators;
   const char* mAdjacency;
-  // The run time is from half to one and a half of this.
-  double mRun;
-  double mCheckpoint;
+  // Run times are from 0.5 to 1.5 times this.
+  double mMeanRunTime;
+  double mCheckpointPeriod;
   bool mIsIdempotent;
 };
 
-constexpr Load kSaryarka[] = {
+constexpr JobClass kSaryarkaJobs[] = {
   { "battery", "battery", 4, 14, 60, 300, 8, 8, "rack", 150, 10, true },
   { "pack", "battery", 2, 6, 90, 360, 16, 8, "zone", 90, 0, true },
   { "scan", "screens", 200, 420, 0, 480, 1, 4, "region", 40, 0, true },
@@ -39,7 +40,7 @@
   { "check", "intake", 40, 70, 0, 480, 1, 8, "worker", 30, 5, true },
 };
 
-constexpr Load kZarqa[] = {
+constexpr JobClass kZarqaJobs[] = {
   { "scoring", "scoring", 4, 18, 45, 240, 8, 8, "rack", 90, 10, true },
   { "final", "scoring", 1, 4, 90, 240, 12, 8, "zone", 60, 0, true },
   { "video", "drills", 40, 130, 0, 360, 2, 8, "rack", 45, 5, true },
@@ -48,7 +49,7 @@
   { "issue", "certificates", 40, 80, 60, 420, 1, 2, "worker", 5, 0, false },
 };
 
-constexpr const char* kSaryarkaHead = R"(account battery 4
+constexpr const char* kSaryarkaAccounts = R"(account battery 4
 account screens 2
 account photos 1
 account intake 1
@@ -58,7 +59,7 @@
 guarantee intake condition 5 1 8 worker
 )";
 
-constexpr const char* kZarqaHead = R"(account drills 2
+constexpr const char* kZarqaAccounts = R"(account drills 2
 account scoring 3
 account theory 1
 account certificates 1
@@ -70,44 +71,48 @@
 guarantee certificates issue 2 1 8 worker
 )";
 
-// Most declared run times are off by a factor of up to 2, and every third by up to 8.
+// Returns the run time that a job declares: the real one, wrong by a factor of up to 2, or for one
+// job in three of up to 8, in either direction.
 double
-Declared(double aRun, Random& aRandom)
+DeclaredRunTime(double aRunTime, Random& aRandom)
 {
-  const double most = aRandom.Below(3) == 0 ? 8 : 2;
-  return aRun * std::pow(most, 2 * aRandom.Fraction() - 1);
+  const double maxFactor = aRandom.Below(3) == 0 ? 8 : 2;
+  return aRunTime * std::pow(maxFactor, 2 * aRandom.Fraction() - 1);
 }
 
 void
-WriteJobs(const Load* aLoads, std::size_t aCount, bool aIsPeak, Random& aRandom, std::ostream& aOut)
+WriteJobs(const JobClass* aJobClasses, std::size_t aCount, bool aIsPeak, Random& aRandom,
+          std::ostream& aOut)
 {
   std::vector<std::pair<int, std::string>> lines;
   for (std::size_t i = 0; i < aCount; ++i) {
-    const auto& load = aLoads[i];
-    const int jobs = aIsPeak ? load.mAtPeak : load.mOnDay;
+    const auto& jobClass = aJobClasses[i];
+    const int jobs = aIsPeak ? jobClass.mPeakJobs : jobClass.mDayJobs;
     for (int n = 0; n < jobs; ++n) {
-      const auto at =
-        static_cast<int>(60 * (load.mFrom + (load.mTo - load.mFrom) * aRandom.Fraction()));
-      const double run = 60 * load.mRun * (0.5 + aRandom.Fraction());
-      const auto name = std::string(load.mName) + "-" + std::to_string(n);
-      std::string line =
-        "job " + name + " " + std::to_string(at) + " " + load.mAccount + " " +
-        std::to_string(load.mTasks) + " " + std::to_string(load.mAccelerators) + " " +
-        load.mAdjacency + " " + std::to_string(static_cast<int>(Declared(run, aRandom))) + " " +
-        std::to_string(static_cast<int>(run)) + (load.mIsIdempotent ? " idempotent " : " once ") +
-        std::to_string(static_cast<int>(60 * load.mCheckpoint)) + "\n";
+      const auto at = static_cast<int>(
+        60 * (jobClass.mFirstArrival +
+              (jobClass.mLastArrival - jobClass.mFirstArrival) * aRandom.Fraction()));
+      const double runTime = 60 * jobClass.mMeanRunTime * (0.5 + aRandom.Fraction());
+      const auto name = std::string(jobClass.mName) + "-" + std::to_string(n);
+      std::string line = "job " + name + " " + std::to_string(at) + " " + jobClass.mAccount + " " +
+                         std::to_string(jobClass.mTasks) + " " +
+                         std::to_string(jobClass.mAccelerators) + " " + jobClass.mAdjacency + " " +
+                         std::to_string(static_cast<int>(DeclaredRunTime(runTime, aRandom))) + " " +
+                         std::to_string(static_cast<int>(runTime)) +
+                         (jobClass.mIsIdempotent ? " idempotent " : " once ") +
+                         std::to_string(static_cast<int>(60 * jobClass.mCheckpointPeriod)) + "\n";
       // One job in 50 is cancelled at some time after its submission.
       if (aRandom.Below(50) == 0) {
         line += "cancel " + name + " " +
-                std::to_string(at + static_cast<int>(2 * run * aRandom.Fraction())) + "\n";
+                std::to_string(at + static_cast<int>(2 * runTime * aRandom.Fraction())) + "\n";
       }
       lines.emplace_back(at, std::move(line));
     }
-    // No rack has this many accelerators.
-    if (load.mTasks > 1) {
-      const auto at = static_cast<int>(60 * load.mFrom);
-      lines.emplace_back(at, "job impossible-" + std::string(load.mName) + " " +
-                               std::to_string(at) + " " + load.mAccount +
+    // A job that can never run: it needs 9 workers of one rack, and a rack has 8.
+    if (jobClass.mTasks > 1) {
+      const auto at = static_cast<int>(60 * jobClass.mFirstArrival);
+      lines.emplace_back(at, "job impossible-" + std::string(jobClass.mName) + " " +
+                               std::to_string(at) + " " + jobClass.mAccount +
                                " 9 8 rack 600 600 idempotent 0\n");
     }
   }
@@ -138,15 +143,16 @@
        << "trace " << aKind << "-" << aSeed << "\n"
        << (isSaryarka ? "weights 0.2 0.8\ncluster 50 8 8 3 130 256000\n"
                       : "weights 0.8 0.2\ncluster 50 8 8 3 64 128000\n")
-       << (isSaryarka ? detail::kSaryarkaHead : detail::kZarqaHead);
+       << (isSaryarka ? detail::kSaryarkaAccounts : detail::kZarqaAccounts);
   for (int i = 0; i < (isPeak ? 3 : 1); ++i) {
     aOut << "fault " << random.Below(50) << " " << 3600 + random.Below(14'400) << " "
          << 300 + random.Below(1500) << "\n";
   }
   if (isSaryarka) {
-    detail::WriteJobs(detail::kSaryarka, std::size(detail::kSaryarka), isPeak, random, aOut);
+    detail::WriteJobs(detail::kSaryarkaJobs, std::size(detail::kSaryarkaJobs), isPeak, random,
+                      aOut);
   } else {
-    detail::WriteJobs(detail::kZarqa, std::size(detail::kZarqa), isPeak, random, aOut);
+    detail::WriteJobs(detail::kZarqaJobs, std::size(detail::kZarqaJobs), isPeak, random, aOut);
   }
 }
 
--- a/bench/TraceGenerator.h
+++ b/bench/TraceGenerator.h
@@ -7,11 +7,12 @@
 
 namespace lovagerock::placement::replay {
 
-// The days that can be generated: saryarka-day, saryarka-peak, zarqa-day and zarqa-peak.
+// The kinds of traces that can be generated: an ordinary and a peak day of each of two example
+// clusters (saryarka-day, saryarka-peak, zarqa-day and zarqa-peak).
 const std::vector<std::string>&
 TraceKinds();
 
-// Writes a trace. The same kind and seed always give the same text.
+// Writes a generated trace. The same kind and seed always give the same text.
 void
 GenerateTrace(const std::string& aKind, std::uint64_t aSeed, std::ostream& aOut);
 
--- a/bench/TraceRun.cpp
+++ b/bench/TraceRun.cpp
@@ -12,13 +12,14 @@
 namespace detail {
 namespace {
 
-constexpr TimePoint kHorizon{ std::chrono::hours(72) };
-// Reservations and quarantines depend on the time alone.
+constexpr TimePoint kTimeLimit{ std::chrono::hours(72) };
+// Plans are computed at least this often, because reservations and quarantines change with time
+// even without any event.
 constexpr Duration kPlanPeriod{ 30'000 };
 
 enum class EventKind
 {
-  // In the order in which events of the same time are applied.
+  // The order of the enumerators is the order in which events of the same time are handled.
   RunEnd,
   StopEnd,
   FaultEnd,
@@ -32,6 +33,7 @@
 {
   TimePoint mAt;
   EventKind mKind;
+  // Index of a worker for Fault and FaultEnd, unused for Tick, otherwise index of a job.
   std::size_t mIndex;
   int mAttempt;
 
@@ -44,21 +46,24 @@
 
 struct JobState
 {
+  // Still set while a running job is stopping.
   bool mIsRunning = false;
   bool mIsStopping = false;
+  // Grows whenever the job ends or is requeued; events of earlier attempts are ignored.
   int mAttempt = 0;
   TimePoint mStarted;
-  Duration mDone{ 0 };
+  // Run time saved by earlier attempts.
+  Duration mProgress{ 0 };
 };
 
-class Run
+class TraceSimulation
 {
 public:
-  Run(const ReplayTrace& aTrace, const Policy& aPolicy, bool aWithGuarantees);
-  RunResult Finish();
+  TraceSimulation(const ReplayTrace& aTrace, const Policy& aPolicy, bool aWithGuarantees);
+  RunResult RunToEnd();
 
 private:
-  void Push(TimePoint aAt, EventKind aKind, std::size_t aIndex, int aAttempt = 0)
+  void PushEvent(TimePoint aAt, EventKind aKind, std::size_t aIndex, int aAttempt = 0)
   {
     mEvents.push({ aAt, aKind, aIndex, aAttempt });
   }
@@ -66,17 +71,17 @@
   {
     return std::chrono::duration_cast<Duration>(mSnapshot.mNow - aTime);
   }
-  void Handle(const Event& aEvent);
+  void HandleEvent(const Event& aEvent);
   void RecordRunTime(std::size_t aJob);
-  void End(std::size_t aJob);
-  void Requeue(std::size_t aJob, bool aWasAsked);
-  void Fail(std::size_t aWorker);
+  void EndJob(std::size_t aJob);
+  void RequeueJob(std::size_t aJob, bool aIsGraceful);
+  void FailWorker(std::size_t aWorker);
   void RemoveLeases(std::size_t aJob);
   void Apply(const Plan& aPlan);
   void Start(const GangStart& aStart);
   void Reclaim(const placement::Reclaim& aReclaim);
-  void Check(const Plan& aPlan);
-  void Sample();
+  void CheckPlan(const Plan& aPlan);
+  void SampleUsage();
   bool IsPlaceable(const PlanContext& aContext, const PendingJob& aJob) const;
 
   const ReplayTrace& mTrace;
@@ -84,20 +89,22 @@
   ClusterSnapshot mSnapshot;
   PlannerState mState;
   RunResult mResult;
-  std::vector<JobState> mStates;
+  std::vector<JobState> mJobStates;
   std::map<JobId, std::size_t> mIndex;
+  // Number of faults in progress, by worker.
   std::vector<int> mFaults;
   GuaranteeDemands mDemands;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> mEvents;
-  std::size_t mOpen = 0;
+  std::size_t mUnfinishedJobs = 0;
 };
 
-Run::Run(const ReplayTrace& aTrace, const Policy& aPolicy, bool aWithGuarantees)
+TraceSimulation::TraceSimulation(const ReplayTrace& aTrace, const Policy& aPolicy,
+                                 bool aWithGuarantees)
   : mTrace(aTrace)
   , mPolicy(aPolicy)
-  , mStates(aTrace.mJobs.size())
+  , mJobStates(aTrace.mJobs.size())
   , mFaults(aTrace.mWorkers.size())
-  , mOpen(aTrace.mJobs.size())
+  , mUnfinishedJobs(aTrace.mJobs.size())
 {
   mSnapshot.mWorkers = aTrace.mWorkers;
   mSnapshot.mAccounts = aTrace.mAccounts;
@@ -111,36 +118,36 @@
     const auto& job = aTrace.mJobs[i];
     mResult.mJobs.push_back({ &job, std::nullopt, false, false, 0 });
     mIndex[job.mPending.mJob] = i;
-    Push(job.mPending.mSubmitted, EventKind::Arrival, i);
+    PushEvent(job.mPending.mSubmitted, EventKind::Arrival, i);
     if (job.mCancelledAt) {
-      Push(*job.mCancelledAt, EventKind::Cancel, i);
+      PushEvent(*job.mCancelledAt, EventKind::Cancel, i);
     }
   }
   for (const auto& it : aTrace.mFaults) {
-    Push(it.mAt, EventKind::Fault, it.mWorker);
-    Push(it.mAt + it.mFor, EventKind::FaultEnd, it.mWorker);
+    PushEvent(it.mAt, EventKind::Fault, it.mWorker);
+    PushEvent(it.mAt + it.mDuration, EventKind::FaultEnd, it.mWorker);
   }
-  Push(TimePoint(), EventKind::Tick, 0);
+  PushEvent(TimePoint(), EventKind::Tick, 0);
 }
 
 RunResult
-Run::Finish()
+TraceSimulation::RunToEnd()
 {
-  while (mOpen > 0 && !mEvents.empty() && mEvents.top().mAt < kHorizon) {
+  while (mUnfinishedJobs > 0 && !mEvents.empty() && mEvents.top().mAt < kTimeLimit) {
     const auto now = mEvents.top().mAt;
     const auto before = mSnapshot.mNow;
     mSnapshot.mNow = now;
     while (!mEvents.empty() && mEvents.top().mAt == now) {
       const auto event = mEvents.top();
       mEvents.pop();
-      Handle(event);
+      HandleEvent(event);
     }
-    mDemands.Note(mSnapshot, mState);
+    mDemands.Update(mSnapshot, mState);
     const auto plan = mPolicy(mSnapshot, mState);
     mResult.mUnassigned += Since(before) * static_cast<int>(plan.mUnassigned.size());
-    Check(plan);
+    CheckPlan(plan);
     Apply(plan);
-    Sample();
+    SampleUsage();
   }
   mResult.mEnd = mSnapshot.mNow;
   mResult.mOpenDemands = static_cast<int>(mDemands.Count());
@@ -148,7 +155,7 @@
 }
 
 void
-Run::Handle(const Event& aEvent)
+TraceSimulation::HandleEvent(const Event& aEvent)
 {
   const auto i = aEvent.mIndex;
   switch (aEvent.mKind) {
@@ -156,26 +163,26 @@
       mSnapshot.mJobs.push_back(mTrace.mJobs[i].mPending);
       break;
     case EventKind::RunEnd:
-      if (mStates[i].mIsRunning && mStates[i].mAttempt == aEvent.mAttempt) {
+      if (mJobStates[i].mIsRunning && mJobStates[i].mAttempt == aEvent.mAttempt) {
         mResult.mJobs[i].mEnded = mSnapshot.mNow;
         RecordRunTime(i);
-        End(i);
+        EndJob(i);
       }
       break;
     case EventKind::StopEnd:
-      if (mStates[i].mIsStopping && mStates[i].mAttempt == aEvent.mAttempt) {
-        Requeue(i, true);
+      if (mJobStates[i].mIsStopping && mJobStates[i].mAttempt == aEvent.mAttempt) {
+        RequeueJob(i, true);
       }
       break;
     case EventKind::Cancel:
       if (!mResult.mJobs[i].mEnded && !mResult.mJobs[i].mIsRefused && !mResult.mJobs[i].mIsLost) {
         mResult.mJobs[i].mIsLost = true;
-        End(i);
+        EndJob(i);
       }
       break;
     case EventKind::Fault:
       ++mFaults[i];
-      Fail(i);
+      FailWorker(i);
       break;
     case EventKind::FaultEnd:
       if (--mFaults[i] == 0) {
@@ -183,75 +190,77 @@
       }
       break;
     case EventKind::Tick:
-      Push(mSnapshot.mNow + kPlanPeriod, EventKind::Tick, 0);
+      PushEvent(mSnapshot.mNow + kPlanPeriod, EventKind::Tick, 0);
       break;
   }
 }
 
 void
-Run::RecordRunTime(std::size_t aJob)
+TraceSimulation::RecordRunTime(std::size_t aJob)
 {
   const auto& pending = mTrace.mJobs[aJob].mPending;
-  const auto& state = mStates[aJob];
+  const auto& state = mJobStates[aJob];
   const auto total = ResourceVector(pending.mResourcesPerTask) * pending.mTasks;
   mState.mRunTimes.Record(pending.mAccount, total.Size(),
-                          { pending.mEstimate, state.mDone + Since(state.mStarted) });
+                          { pending.mEstimate, state.mProgress + Since(state.mStarted) });
 }
 
 void
-Run::End(std::size_t aJob)
+TraceSimulation::EndJob(std::size_t aJob)
 {
   RemoveLeases(aJob);
   std::erase_if(mSnapshot.mJobs, [&](const PendingJob& aPending) {
     return aPending.mJob == mTrace.mJobs[aJob].mPending.mJob;
   });
-  auto& state = mStates[aJob];
+  auto& state = mJobStates[aJob];
   state.mIsRunning = false;
   state.mIsStopping = false;
   mDemands.Forget(mTrace.mJobs[aJob].mPending.mJob);
   ++state.mAttempt;
-  --mOpen;
+  --mUnfinishedJobs;
 }
 
 void
-Run::Requeue(std::size_t aJob, bool aWasAsked)
+TraceSimulation::RequeueJob(std::size_t aJob, bool aIsGraceful)
 {
   const auto& job = mTrace.mJobs[aJob];
-  auto& state = mStates[aJob];
+  auto& state = mJobStates[aJob];
   if (job.mCheckpoint.count() > 0) {
-    const auto ran = std::max(state.mDone, state.mDone + Since(state.mStarted) - kStartTime);
-    // A worker that is asked to stop saves the progress; a fault loses what follows the last save.
-    state.mDone = aWasAsked ? ran : ran - ran % job.mCheckpoint;
+    const auto ran =
+      std::max(state.mProgress, state.mProgress + Since(state.mStarted) - kStartTime);
+    // A job that is asked to stop saves all its progress; a fault loses the progress since the last
+    // checkpoint.
+    state.mProgress = aIsGraceful ? ran : ran - ran % job.mCheckpoint;
   }
   RemoveLeases(aJob);
   state.mIsRunning = false;
   state.mIsStopping = false;
   ++state.mAttempt;
   mSnapshot.mJobs.push_back(job.mPending);
-  mSnapshot.mJobs.back().mRanBefore = state.mDone;
+  mSnapshot.mJobs.back().mRanBefore = state.mProgress;
 }
 
 void
-Run::Fail(std::size_t aWorker)
+TraceSimulation::FailWorker(std::size_t aWorker)
 {
   auto& worker = mSnapshot.mWorkers[aWorker];
   worker.mHealth = WorkerHealth::Suspected;
-  std::set<std::size_t> hit;
+  std::set<std::size_t> affectedJobs;
   for (const auto& it : worker.mLeases) {
-    hit.insert(mIndex.at(it.mJob));
+    affectedJobs.insert(mIndex.at(it.mJob));
   }
-  for (const auto it : hit) {
+  for (const auto it : affectedJobs) {
     if (mTrace.mJobs[it].mPending.mIdempotent) {
-      Requeue(it, false);
+      RequeueJob(it, false);
     } else {
       mResult.mJobs[it].mIsLost = true;
-      End(it);
+      EndJob(it);
     }
   }
 }
 
 void
-Run::RemoveLeases(std::size_t aJob)
+TraceSimulation::RemoveLeases(std::size_t aJob)
 {
   for (auto& worker : mSnapshot.mWorkers) {
     std::erase_if(worker.mLeases, [&](const LeaseView& aLease) {
@@ -261,7 +270,7 @@
 }
 
 void
-Run::Apply(const Plan& aPlan)
+TraceSimulation::Apply(const Plan& aPlan)
 {
   for (const auto& it : aPlan.mReclaims) {
     Reclaim(it);
@@ -272,15 +281,15 @@
   for (const auto& it : aPlan.mRefused) {
     const auto i = mIndex.at(it.mJob);
     mResult.mJobs[i].mIsRefused = true;
-    End(i);
+    EndJob(i);
   }
 }
 
 void
-Run::Reclaim(const placement::Reclaim& aReclaim)
+TraceSimulation::Reclaim(const placement::Reclaim& aReclaim)
 {
   const auto i = mIndex.at(aReclaim.mJob);
-  auto& state = mStates[i];
+  auto& state = mJobStates[i];
   if (!state.mIsRunning || state.mIsStopping) {
     return;
   }
@@ -293,15 +302,15 @@
       }
     }
   }
-  Push(mSnapshot.mNow + kStopTime, EventKind::StopEnd, i, state.mAttempt);
+  PushEvent(mSnapshot.mNow + kStopTime, EventKind::StopEnd, i, state.mAttempt);
 }
 
 void
-Run::Start(const GangStart& aStart)
+TraceSimulation::Start(const GangStart& aStart)
 {
   const auto i = mIndex.at(aStart.mJob);
   const auto& job = mTrace.mJobs[i];
-  auto& state = mStates[i];
+  auto& state = mJobStates[i];
   int task = 0;
   for (const auto& id : aStart.mWorkers) {
     LeaseView lease;
@@ -317,28 +326,29 @@
     lease.mTask = task++;
     lease.mStarted = mSnapshot.mNow;
     lease.mEstimate = job.mPending.mEstimate;
-    lease.mRanBefore = state.mDone;
+    lease.mRanBefore = state.mProgress;
     std::ranges::find(mSnapshot.mWorkers, id, &WorkerView::mWorker)->mLeases.push_back(lease);
   }
   std::erase_if(mSnapshot.mJobs,
                 [&](const PendingJob& aPending) { return aPending.mJob == aStart.mJob; });
   state.mIsRunning = true;
   state.mStarted = mSnapshot.mNow;
-  if (const auto since = mDemands.DemandedAt(aStart.mJob)) {
+  if (const auto since = mDemands.DemandedSince(aStart.mJob)) {
     mResult.mGuaranteeDelays.push_back(Since(*since) + kStartTime);
   }
-  if (const auto since = mDemands.BlockedSince(aStart.mJob)) {
-    mResult.mBlockedDelays.push_back(Since(*since) + kStartTime);
+  if (const auto since = mDemands.BlockedByOthersSince(aStart.mJob)) {
+    mResult.mBlockedByOthersDelays.push_back(Since(*since) + kStartTime);
   }
   mDemands.Forget(aStart.mJob);
-  Push(mSnapshot.mNow + kStartTime + job.mRun - state.mDone, EventKind::RunEnd, i, state.mAttempt);
+  PushEvent(mSnapshot.mNow + kStartTime + job.mRun - state.mProgress, EventKind::RunEnd, i,
+            state.mAttempt);
 }
 
 void
-Run::Check(const Plan& aPlan)
+TraceSimulation::CheckPlan(const Plan& aPlan)
 {
-  const auto expect = [&](bool aIsGood, const std::string& aText) {
-    if (!aIsGood && mResult.mViolations.size() < 20) {
+  const auto expect = [&](bool aIsValid, const std::string& aText) {
+    if (!aIsValid && mResult.mViolations.size() < 20) {
       mResult.mViolations.push_back(std::to_string(Since(TimePoint()).count()) + " ms: " + aText);
     }
   };
@@ -351,26 +361,28 @@
   for (const auto& start : aPlan.mStarts) {
     const auto& job = mTrace.mJobs[mIndex.at(start.mJob)].mPending;
     expect(static_cast<int>(start.mWorkers.size()) == job.mTasks,
-           start.mJob.Value() + " is not started whole");
+           start.mJob.Value() +
+             " is started with a number of workers other than its number of tasks");
     for (const auto& it : start.mWorkers) {
       used[it] += ResourceVector(job.mResourcesPerTask);
     }
   }
   for (const auto& it : mSnapshot.mWorkers) {
     expect(used[it.mWorker].FitsInto(ResourceVector(it.mCapacity)),
-           it.mWorker.Value() + " is overfull");
+           it.mWorker.Value() + " has leases and starts beyond its capacity");
   }
-  // Accelerators of copies of guarantees and of work that can't be interrupted and is on neither.
-  std::map<WorkerId, std::int64_t> fixed;
+  // Accelerators that can't be reclaimed from each worker: those assigned to copies of guarantees,
+  // and those of work that can't be interrupted and runs outside the assigned capacity.
+  std::map<WorkerId, std::int64_t> committed;
   for (const auto& copy : mState.mAssignment) {
     for (const auto& it : copy.mWorkers) {
-      fixed[it] += copy.mGuarantee.mAcceleratorsPerWorker.Value();
+      committed[it] += copy.mGuarantee.mAcceleratorsPerWorker.Value();
     }
   }
   for (const auto& worker : mSnapshot.mWorkers) {
     for (const auto& it : worker.mLeases) {
       if (!it.mIdempotent && it.mClass == CapacityClass::Borrowed) {
-        fixed[worker.mWorker] += it.mResources.mAccelerators.Value();
+        committed[worker.mWorker] += it.mResources.mAccelerators.Value();
       }
     }
   }
@@ -380,20 +392,22 @@
       continue;
     }
     for (const auto& it : start.mWorkers) {
-      fixed[it] += job.mResourcesPerTask.mAccelerators.Value();
+      committed[it] += job.mResourcesPerTask.mAccelerators.Value();
       const auto worker = std::ranges::find(mSnapshot.mWorkers, it, &WorkerView::mWorker);
-      expect(fixed[it] <= worker->mCapacity.mAccelerators.Value(),
-             start.mJob.Value() + " can't be interrupted and is on assigned capacity");
+      expect(committed[it] <= worker->mCapacity.mAccelerators.Value(),
+             start.mJob.Value() +
+               " can't be interrupted but is placed on capacity assigned to guarantees");
     }
   }
   for (const auto& it : aPlan.mReclaims) {
     const auto i = mIndex.at(it.mJob);
-    expect(mTrace.mJobs[i].mPending.mIdempotent, it.mJob.Value() + " can't be interrupted");
+    expect(mTrace.mJobs[i].mPending.mIdempotent,
+           it.mJob.Value() + " can't be interrupted but is reclaimed");
   }
 }
 
 void
-Run::Sample()
+TraceSimulation::SampleUsage()
 {
   PlanContext context(mSnapshot, mState);
   context.mModel.ApplyAssignment({});
@@ -404,7 +418,7 @@
   for (const auto& it : mSnapshot.mJobs) {
     const auto wanted = it.mResourcesPerTask.mAccelerators.Value() * it.mTasks;
     if (it.mTasks > 1 && wanted <= sample.mFree && !IsPlaceable(context, it)) {
-      sample.mLost = sample.mFree;
+      sample.mFragmented = sample.mFree;
       break;
     }
   }
@@ -412,7 +426,7 @@
 }
 
 bool
-Run::IsPlaceable(const PlanContext& aContext, const PendingJob& aJob) const
+TraceSimulation::IsPlaceable(const PlanContext& aContext, const PendingJob& aJob) const
 {
   const auto& model = aContext.mModel;
   const ResourceVector each(aJob.mResourcesPerTask);
@@ -432,7 +446,7 @@
 RunResult
 RunTrace(const ReplayTrace& aTrace, const Policy& aPolicy, bool aWithGuarantees)
 {
-  return detail::Run(aTrace, aPolicy, aWithGuarantees).Finish();
+  return detail::TraceSimulation(aTrace, aPolicy, aWithGuarantees).RunToEnd();
 }
 
 } // namespace lovagerock::placement::replay
--- a/bench/TraceRun.h
+++ b/bench/TraceRun.h
@@ -13,45 +13,50 @@
   const ReplayJob* mJob = nullptr;
   std::optional<TimePoint> mEnded;
   bool mIsRefused = false;
-  // Cancelled, or non-idempotent and hit by a fault.
+  // Cancelled, or non-idempotent and on a worker that failed.
   bool mIsLost = false;
   int mReclaims = 0;
 };
 
-// Accelerators from this time on.
+// The free accelerators of the cluster from this time until the next sample.
 struct UsageSample
 {
   TimePoint mAt;
   int mFree = 0;
-  // Free, while a waiting gang fits their number but not under its adjacency.
-  int mLost = 0;
+  // All free accelerators if some waiting gang needs no more than them but can't be placed under
+  // its adjacency; otherwise 0.
+  int mFragmented = 0;
 };
 
 struct RunResult
 {
   std::vector<JobOutcome> mJobs;
   std::vector<UsageSample> mUsage;
-  // From the demand of guaranteed capacity to the start, by job that demanded it.
+  // Time from the demand for guaranteed capacity to the start, for each start of a job that had
+  // one.
   std::vector<Duration> mGuaranteeDelays;
-  // The same without the time in which the account's own work or its earlier job is in the way.
-  std::vector<Duration> mBlockedDelays;
-  // Demands without an end: the job was still waiting when the replay stopped.
+  // Time from GuaranteeDemands::BlockedByOthersSince() to the start, for each start of a job with
+  // one. Excludes the time in which the account's own work or an earlier job of it needed the
+  // capacity.
+  std::vector<Duration> mBlockedByOthersDelays;
+  // Demands of jobs that were still waiting when the replay stopped.
   int mOpenDemands = 0;
-  // The time without capacity of all copies of guarantees.
+  // Total time in which copies of guarantees had no capacity assigned, summed over the copies.
   Duration mUnassigned{ 0 };
   TimePoint mEnd;
-  // Broken rules of the plans; must be empty.
+  // Descriptions of the rules that plans have broken; must be empty.
   std::vector<std::string> mViolations;
 };
 
 using Policy = std::function<Plan(const ClusterSnapshot&, PlannerState&)>;
 
-// A stop takes the worker's whole deadline, a start the reserve, commit and start times of the
-// design.
+// A stop takes as long as the worker's full deadline. A start takes the sum of the times that the
+// design allows for reserving, committing and starting.
 inline constexpr Duration kStopTime{ 2000 };
 inline constexpr Duration kStartTime{ 1200 };
 
-// Applies the plans of a policy to the trace until all jobs have ended, or for 72 h.
+// Replays the trace with the plans of a policy until all jobs have ended, or for 72 h. Ignores the
+// trace's guarantees unless aWithGuarantees is set.
 RunResult
 RunTrace(const ReplayTrace& aTrace, const Policy& aPolicy, bool aWithGuarantees);
 
--- a/bench/placement_bench.cpp
+++ b/bench/placement_bench.cpp
@@ -1,5 +1,6 @@
-// Time and memory of ComputePlan over cluster sizes, and its outcomes over the recorded traces next
-// to a first-come-first-served first-fit baseline in the same run.
+// Measures CPU time and memory of ComputePlan() for several cluster sizes, and compares its job
+// completion times and fragmentation on recorded and generated traces with those of a
+// first-come-first-served first-fit baseline.
 
 #include "base/Random.h"
 #include "placement/Planner.h"
@@ -16,14 +17,14 @@
 
 namespace {
 
-struct Size
+struct ClusterSize
 {
   const char* mName;
   int mWorkers;
   int mTasks;
   int mAccounts;
   int mJobs;
-  int mLargest;
+  int mLargestGang;
 };
 
 constexpr int kRepeats = 20;
@@ -37,24 +38,25 @@
 }
 
 long
-PeakKiB()
+PeakRssKiB()
 {
   rusage usage{};
   getrusage(RUSAGE_SELF, &usage);
   return usage.ru_maxrss;
 }
 
-// In the design size one worker in 29 has 8 accelerators, which gives 5,700; small clusters have 8
-// on each worker.
+// Generates a cluster with running tasks and waiting jobs. In clusters of more than 50 workers, one
+// worker in 29 has 8 accelerators and the others have 1, which gives about 5,700 in the design size
+// of 4,600 workers; smaller clusters have 8 on each worker.
 ClusterSnapshot
-MakeSnapshot(const Size& aSize, Random& aRandom)
+MakeSnapshot(const ClusterSize& aClusterSize, Random& aRandom)
 {
   ClusterSnapshot snapshot;
   snapshot.mNow = TimePoint(std::chrono::hours(24));
-  const bool isSmall = aSize.mWorkers <= 50;
-  for (int i = 0; i < aSize.mWorkers; ++i) {
+  const bool isSmall = aClusterSize.mWorkers <= 50;
+  for (int i = 0; i < aClusterSize.mWorkers; ++i) {
     const int accelerators = isSmall || i % 29 == 0 ? 8 : 1;
-    const int zone = i * 6 / aSize.mWorkers;
+    const int zone = i * 6 / aClusterSize.mWorkers;
     snapshot.mWorkers.push_back(
       { WorkerId("worker-" + std::to_string(i)),
         RegionId("region-" + std::to_string(zone / 3)),
@@ -64,7 +66,7 @@
         WorkerHealth::Live,
         {} });
   }
-  for (int i = 0; i < aSize.mAccounts; ++i) {
+  for (int i = 0; i < aClusterSize.mAccounts; ++i) {
     const int count = isSmall ? 1 : 8;
     snapshot.mAccounts.push_back(
       { AccountId("account-" + std::to_string(i)),
@@ -73,13 +75,13 @@
         { { "shape", 1, count, Accelerators(1), isSmall ? Adjacency::Worker : Adjacency::Zone,
             std::nullopt } } });
   }
-  std::vector<int> slots(aSize.mWorkers, 8);
+  std::vector<int> slots(aClusterSize.mWorkers, 8);
   std::vector<int> accelerators;
   for (const auto& it : snapshot.mWorkers) {
     accelerators.push_back(static_cast<int>(it.mCapacity.mAccelerators.Value()));
   }
-  for (int i = 0; i < aSize.mTasks; ++i) {
-    const auto worker = aRandom.Below(aSize.mWorkers);
+  for (int i = 0; i < aClusterSize.mTasks; ++i) {
+    const auto worker = aRandom.Below(aClusterSize.mWorkers);
     if (slots[worker] == 0) {
       continue;
     }
@@ -89,18 +91,19 @@
     LeaseView lease;
     lease.mLease = LeaseId("lease-" + std::to_string(i));
     lease.mJob = JobId("running-" + std::to_string(i / 4));
-    lease.mAccount = snapshot.mAccounts[static_cast<std::size_t>(i / 4 % aSize.mAccounts)].mAccount;
+    lease.mAccount =
+      snapshot.mAccounts[static_cast<std::size_t>(i / 4 % aClusterSize.mAccounts)].mAccount;
     lease.mResources = { Slots(1), Accelerators(wanted), Cores(4), MemoryMiB(8000) };
     lease.mStarted = snapshot.mNow - std::chrono::minutes(aRandom.Below(300));
     lease.mEstimate = std::chrono::minutes(aRandom.Below(400));
     snapshot.mWorkers[worker].mLeases.push_back(lease);
   }
-  for (int i = 0; i < aSize.mJobs; ++i) {
+  for (int i = 0; i < aClusterSize.mJobs; ++i) {
     PendingJob job;
     job.mJob = JobId("job-" + std::to_string(i));
     job.mAccount = snapshot.mAccounts[aRandom.Below(snapshot.mAccounts.size())].mAccount;
     const int scale = static_cast<int>(aRandom.Below(10));
-    job.mTasks = std::min(1 << scale, aSize.mLargest);
+    job.mTasks = std::min(1 << scale, aClusterSize.mLargestGang);
     job.mResourcesPerTask = { Slots(1), Accelerators(aRandom.Below(2)),
                               Cores(1 + static_cast<int>(aRandom.Below(8))), MemoryMiB(4000) };
     job.mAdjacency = job.mTasks <= 4 ? Adjacency::Rack : Adjacency::Region;
@@ -114,10 +117,10 @@
 }
 
 double
-Measure(const Size& aSize, std::uint64_t aSeed)
+MeasurePlanTime(const ClusterSize& aClusterSize, std::uint64_t aSeed)
 {
   Random random(aSeed);
-  const auto snapshot = MakeSnapshot(aSize, random);
+  const auto snapshot = MakeSnapshot(aClusterSize, random);
   PlannerState state;
   const double firstBefore = CpuMilliseconds();
   auto plan = ComputePlan(snapshot, state);
@@ -131,13 +134,14 @@
   std::ranges::sort(times);
   std::printf("%-8s workers=%d tasks=%d accounts=%d jobs=%d first_ms=%.2f median_ms=%.2f "
               "max_ms=%.2f starts=%zu reclaims=%zu waiting=%zu peak_rss_kib=%ld\n",
-              aSize.mName, aSize.mWorkers, aSize.mTasks, aSize.mAccounts, aSize.mJobs, first,
-              times[kRepeats / 2], times.back(), plan.mStarts.size(), plan.mReclaims.size(),
-              plan.mWaiting.size(), PeakKiB());
+              aClusterSize.mName, aClusterSize.mWorkers, aClusterSize.mTasks,
+              aClusterSize.mAccounts, aClusterSize.mJobs, first, times[kRepeats / 2], times.back(),
+              plan.mStarts.size(), plan.mReclaims.size(), plan.mWaiting.size(), PeakRssKiB());
   return times[kRepeats / 2];
 }
 
-// Strictly in order of arrival; the head of the queue blocks all others.
+// First-come-first-served first fit: starts jobs strictly in order of arrival, and the first one
+// that doesn't fit blocks all later ones.
 Plan
 FirstFit(const ClusterSnapshot& aSnapshot)
 {
@@ -150,7 +154,7 @@
     }
   }
   for (const auto& job : aSnapshot.mJobs) {
-    std::vector<WorkerId> best;
+    std::vector<WorkerId> chosen;
     std::map<std::string, std::vector<WorkerId>> domains;
     for (const auto& worker : aSnapshot.mWorkers) {
       const auto key = job.mAdjacency == Adjacency::Worker ? worker.mWorker.Value()
@@ -164,17 +168,17 @@
       }
     }
     for (const auto& it : domains) {
-      if (best.empty() && static_cast<int>(it.second.size()) == job.mTasks) {
-        best = it.second;
+      if (chosen.empty() && static_cast<int>(it.second.size()) == job.mTasks) {
+        chosen = it.second;
       }
     }
-    if (best.empty()) {
+    if (chosen.empty()) {
       break;
     }
-    for (const auto& it : best) {
+    for (const auto& it : chosen) {
       free[it] -= job.mResourcesPerTask;
     }
-    plan.mStarts.push_back({ job.mJob, job.mAccount, best, CapacityClass::Borrowed, true });
+    plan.mStarts.push_back({ job.mJob, job.mAccount, chosen, CapacityClass::Borrowed, true });
   }
   std::map<RackId, std::pair<double, double>> racks;
   for (const auto& it : aSnapshot.mWorkers) {
@@ -182,17 +186,17 @@
     racks[it.mRack].second += static_cast<double>(it.mCapacity.mAccelerators.Value());
   }
   double all = 0;
-  double broken = 0;
+  double fragmented = 0;
   for (const auto& it : racks) {
     all += it.second.first;
-    broken += it.second.first * (1 - it.second.first / it.second.second);
+    fragmented += it.second.first * (1 - it.second.first / it.second.second);
   }
-  plan.mFragmentation = all > 0 ? broken / all : 0;
+  plan.mFragmentation = all > 0 ? fragmented / all : 0;
   return plan;
 }
 
 void
-Report(const char* aPolicy, const std::string& aTrace, const tests::TraceResult& aResult)
+PrintResult(const char* aPolicy, const std::string& aTrace, const tests::TraceResult& aResult)
 {
   double all = 0;
   double large = 0;
@@ -213,8 +217,8 @@
               large / std::max(largeCount, 1), unfinished, aResult.mMeanFragmentation);
 }
 
-// Bursts of many small jobs and a few gangs. A declared run time is from a fifth to 5 times the
-// real one.
+// Generates 6 bursts, each of 100 small jobs and one gang. Declared run times are from a fifth to 5
+// times the real ones.
 std::vector<tests::TraceJob>
 MakeBursts(std::uint64_t aSeed)
 {
@@ -248,7 +252,8 @@
   return jobs;
 }
 
-// The guarantees of the example files, cut to the 16 workers of the traces.
+// Returns accounts with the guarantees of the example configurations, reduced to the 16 workers of
+// the traces.
 std::vector<AccountView>
 GuaranteesOf(const std::string& aName)
 {
@@ -268,8 +273,8 @@
 }
 
 void
-Sweep(const std::string& aName, const std::vector<tests::TraceJob>& aTrace,
-      const std::vector<AccountView>& aAccounts)
+CompareWeights(const std::string& aName, const std::vector<tests::TraceJob>& aTrace,
+               const std::vector<AccountView>& aAccounts)
 {
   for (const double completion : { 0.9, 0.5, 0.1 }) {
     PlannerState state;
@@ -280,15 +285,16 @@
     char label[32];
     std::snprintf(label, sizeof label, "%s %.1f/%.1f", aAccounts.empty() ? "ours" : "guar",
                   completion, 1 - completion);
-    Report(label, aName, tests::Replay(aTrace, policy, 1440, aAccounts));
+    PrintResult(label, aName, tests::Replay(aTrace, policy, 1440, aAccounts));
   }
 }
 
-// First-come-first-served, the weights from completion-heavy to fragmentation-heavy, and the same
-// with guarantees. The lower bounds are those of an empty cluster: each job starts when it arrives,
-// and all work fills all accelerators.
+// Prints the results of the first-fit baseline and of the planner, whose weights range from
+// completion-heavy to fragmentation-heavy, for recorded traces also with guarantees. The lower
+// bounds assume that each job starts when it arrives, and that the work always uses all
+// accelerators.
 void
-CompareOn(const std::string& aName, const std::vector<tests::TraceJob>& aTrace)
+ComparePolicies(const std::string& aName, const std::vector<tests::TraceJob>& aTrace)
 {
   const auto first = tests::Replay(aTrace, FirstFit, 1440);
   double all = 0;
@@ -307,10 +313,10 @@
               "all_work_min=%.1f\n",
               aName.c_str(), "lower-bound", all / static_cast<double>(first.mJobs.size()),
               large / std::max(count, 1), work / 128);
-  Report("first-fit", aName, first);
-  Sweep(aName, aTrace, {});
+  PrintResult("first-fit", aName, first);
+  CompareWeights(aName, aTrace, {});
   if (aName.ends_with(".txt")) {
-    Sweep(aName, aTrace, GuaranteesOf(aName));
+    CompareWeights(aName, aTrace, GuaranteesOf(aName));
   }
 }
 
@@ -322,23 +328,23 @@
   constexpr std::uint64_t kSeed = 1;
   std::printf("seed %llu, %d plans per size, CPU time\n", static_cast<unsigned long long>(kSeed),
               kRepeats);
-  const Size sizes[] = { { "today", 50, 300, 4, 50, 16 },
-                         { "quarter", 1150, 5500, 50, 250, 128 },
-                         { "half", 2300, 11'000, 100, 500, 256 },
-                         { "design", 4600, 22'000, 200, 1000, 512 } };
+  const ClusterSize sizes[] = { { "today", 50, 300, 4, 50, 16 },
+                                { "quarter", 1150, 5500, 50, 250, 128 },
+                                { "half", 2300, 11'000, 100, 500, 256 },
+                                { "design", 4600, 22'000, 200, 1000, 512 } };
   std::vector<double> times;
   for (const auto& it : sizes) {
-    times.push_back(Measure(it, kSeed));
+    times.push_back(MeasurePlanTime(it, kSeed));
   }
   std::printf("slope quarter_to_half=%.2f half_to_design=%.2f (1 is linear in the size)\n",
               std::log2(times[2] / times[1]), std::log2(times[3] / times[2]));
   std::printf("share of a core at 6 plans a minute, design size: %.3f%%\n",
               times[3] * 6 / 60'000 * 100);
   for (const std::string name : { "overnight.txt", "term-end.txt" }) {
-    CompareOn(name, tests::ReadTrace(std::string(TRACE_DIRECTORY) + "/" + name));
+    ComparePolicies(name, tests::ReadTrace(std::string(TRACE_DIRECTORY) + "/" + name));
   }
   for (const std::uint64_t seed : { 1, 2, 3 }) {
-    CompareOn("burst-seed-" + std::to_string(seed), MakeBursts(seed));
+    ComparePolicies("burst-seed-" + std::to_string(seed), MakeBursts(seed));
   }
   return 0;
 }
--- a/bench/placement_replay.cpp
+++ b/bench/placement_replay.cpp
@@ -18,10 +18,12 @@
 
 namespace {
 
-// The bound on the start of urgent and guaranteed work.
-constexpr Duration kLatestStart{ 3400 };
-// Shorter runs would make the slowdown of a short job say more about the start than the wait.
-constexpr double kShortestRun = 10;
+// Maximum delay of the start of urgent and guaranteed work. Guaranteed starts after it count as
+// late.
+constexpr Duration kMaxStartDelay{ 3400 };
+// Minimum run time in the slowdown; with shorter ones, the slowdown of a short job would show the
+// start time rather than the wait.
+constexpr double kMinRunTimeSeconds = 10;
 
 double
 SecondsOf(std::chrono::duration<double> aDuration)
@@ -30,7 +32,7 @@
 }
 
 nlohmann::json
-Spread(std::vector<double> aValues)
+Distribution(std::vector<double> aValues)
 {
   if (aValues.empty()) {
     return { { "mean", 0.0 }, { "p95", 0.0 }, { "p99", 0.0 }, { "max", 0.0 } };
@@ -40,8 +42,8 @@
   for (const double it : aValues) {
     sum += it;
   }
-  const auto at = [&](double aPart) {
-    return aValues[static_cast<std::size_t>(aPart * static_cast<double>(aValues.size() - 1))];
+  const auto at = [&](double aQuantile) {
+    return aValues[static_cast<std::size_t>(aQuantile * static_cast<double>(aValues.size() - 1))];
   };
   return { { "mean", sum / static_cast<double>(aValues.size()) },
            { "p95", at(0.95) },
@@ -49,32 +51,33 @@
            { "max", aValues.back() } };
 }
 
-// Completion in minutes and slowdown of the jobs that a filter accepts. A job that hadn't ended at
-// the end of the replay counts as if it ended then.
+// Returns the distributions of completion time (minutes) and slowdown over the jobs that a filter
+// accepts, without refused and lost ones. A job that hadn't ended when the replay stopped counts as
+// if it ended then.
 template<typename Filter>
 nlohmann::json
-Times(const RunResult& aRun, const Filter& aFilter)
+SummarizeTimes(const RunResult& aRun, const Filter& aFilter)
 {
   std::vector<double> completion;
   std::vector<double> slowdown;
-  std::vector<double> bound;
+  std::vector<double> lowerBound;
   int unfinished = 0;
   for (const auto& it : aRun.mJobs) {
     if (it.mIsRefused || it.mIsLost || !aFilter(*it.mJob)) {
       continue;
     }
     unfinished += it.mEnded ? 0 : 1;
-    const double took = SecondsOf(it.mEnded.value_or(aRun.mEnd) - it.mJob->mPending.mSubmitted);
+    const double elapsed = SecondsOf(it.mEnded.value_or(aRun.mEnd) - it.mJob->mPending.mSubmitted);
     const double run = SecondsOf(it.mJob->mRun);
-    completion.push_back(took / 60);
-    slowdown.push_back(std::max(took / std::max(run, kShortestRun), 1.0));
-    bound.push_back(SecondsOf(it.mJob->mRun + kStartTime) / 60);
+    completion.push_back(elapsed / 60);
+    slowdown.push_back(std::max(elapsed / std::max(run, kMinRunTimeSeconds), 1.0));
+    lowerBound.push_back(SecondsOf(it.mJob->mRun + kStartTime) / 60);
   }
   return { { "jobs", completion.size() },
            { "unfinished", unfinished },
-           { "completion_min", Spread(std::move(completion)) },
-           { "slowdown", Spread(std::move(slowdown)) },
-           { "lower_bound_min", Spread(std::move(bound)) } };
+           { "completion_min", Distribution(std::move(completion)) },
+           { "slowdown", Distribution(std::move(slowdown)) },
+           { "lower_bound_min", Distribution(std::move(lowerBound)) } };
 }
 
 bool
@@ -86,10 +89,10 @@
 nlohmann::json
 Summarize(const ReplayTrace& aTrace, const RunResult& aRun)
 {
-  nlohmann::json result{ { "all", Times(aRun, [](const ReplayJob&) { return true; }) },
-                         { "large_gangs", Times(aRun, IsLargeGang) } };
+  nlohmann::json result{ { "all", SummarizeTimes(aRun, [](const ReplayJob&) { return true; }) },
+                         { "large_gangs", SummarizeTimes(aRun, IsLargeGang) } };
   for (const auto& account : aTrace.mAccounts) {
-    result["accounts"][account.mAccount.Value()] = Times(
+    result["accounts"][account.mAccount.Value()] = SummarizeTimes(
       aRun, [&](const ReplayJob& aJob) { return aJob.mPending.mAccount == account.mAccount; });
   }
   double free = 0;
@@ -97,7 +100,7 @@
   for (std::size_t i = 0; i + 1 < aRun.mUsage.size(); ++i) {
     const double hours = SecondsOf(aRun.mUsage[i + 1].mAt - aRun.mUsage[i].mAt) / 3600;
     free += aRun.mUsage[i].mFree * hours;
-    lost += aRun.mUsage[i].mLost * hours;
+    lost += aRun.mUsage[i].mFragmented * hours;
   }
   double all = 0;
   for (const auto& it : aTrace.mWorkers) {
@@ -122,9 +125,9 @@
   for (const auto it : aRun.mGuaranteeDelays) {
     delays.push_back(SecondsOf(it));
   }
-  const auto isLate = [](Duration aDelay) { return aDelay > kLatestStart; };
+  const auto isLate = [](Duration aDelay) { return aDelay > kMaxStartDelay; };
   std::vector<double> blocked;
-  for (const auto it : aRun.mBlockedDelays) {
+  for (const auto it : aRun.mBlockedByOthersDelays) {
     blocked.push_back(SecondsOf(it));
   }
   result["lost_accelerator_hours"] = lost;
@@ -138,9 +141,9 @@
   result["guarantee"] = {
     { "demands", aRun.mGuaranteeDelays.size() },
     { "late", std::ranges::count_if(aRun.mGuaranteeDelays, isLate) + aRun.mOpenDemands },
-    { "missed", std::ranges::count_if(aRun.mBlockedDelays, isLate) + aRun.mOpenDemands },
-    { "late_start_s", Spread(std::move(delays)) },
-    { "start_s", Spread(std::move(blocked)) },
+    { "missed", std::ranges::count_if(aRun.mBlockedByOthersDelays, isLate) + aRun.mOpenDemands },
+    { "late_start_s", Distribution(std::move(delays)) },
+    { "start_s", Distribution(std::move(blocked)) },
     { "unassigned_s", SecondsOf(aRun.mUnassigned) }
   };
   result["violations"] = aRun.mViolations;
@@ -194,13 +197,14 @@
            { "best-fit", baseline(Baseline::BestFit), false } };
 }
 
-// Returns the number of violations.
+// Replays the trace with each policy, or only with the one named, prints the results and adds them
+// to aOut. Returns the number of violations.
 std::size_t
-Replay(const ReplayTrace& aTrace, const std::string& aOnly, nlohmann::json& aOut)
+Replay(const ReplayTrace& aTrace, const std::string& aPolicyName, nlohmann::json& aOut)
 {
   std::size_t violations = 0;
   for (const auto& it : Policies()) {
-    if (!aOnly.empty() && aOnly != it.mName) {
+    if (!aPolicyName.empty() && aPolicyName != it.mName) {
       continue;
     }
     const auto result = Summarize(aTrace, RunTrace(aTrace, it.mPolicy, it.mHasGuarantees));
--- a/bench/retention_bench.cpp
+++ b/bench/retention_bench.cpp
@@ -1,5 +1,6 @@
-// Fills a running key-value service with the keys of a share of the design size and runs the
-// sweeper on them. Prints the calls, bytes and memory of each run. See docs/retention.md.
+// Fills a running key-value service with jobs, their answers and configuration changes, runs the
+// sweeper on them, and prints the calls, bytes, time and memory of each run. The options set the
+// size, as a part of the design size. See docs/retention.md.
 
 #include "base/EventLoop.h"
 #include "base/Hash.h"
@@ -19,11 +20,11 @@
 
 namespace {
 
-constexpr std::int64_t kHour = 3600 * 1000;
-constexpr int kTasks = 20;
-constexpr int kDays = 8;
+constexpr std::int64_t kHourMs = 3600 * 1000;
+constexpr int kTasksPerJob = 20;
+constexpr int kFilledDays = 8;
 
-// A value of /proc/self/io or /proc/self/status.
+// Returns a value of /proc/self/io or /proc/self/status; 0 if the file doesn't contain it.
 std::int64_t
 ReadProc(const std::string& aFile, const std::string& aName)
 {
@@ -76,22 +77,22 @@
     }
   }
 
-  // Jobs and changes of 8 days, so that those of a day are expired.
+  // Writes the jobs and changes of 8 days, so that those of one day have expired.
   void Fill(int aJobsPerDay, int aChangesPerDay, std::size_t aPieceBytes)
   {
     const std::string piece(aPieceBytes, 'x');
-    for (int i = 0; i < kDays * aJobsPerDay; ++i) {
+    for (int i = 0; i < kFilledDays * aJobsPerDay; ++i) {
       jobs::JobRecord record;
       record.mAccount = AccountId("account-1");
       record.mJob = jobs::MakeJobId(record.mAccount, std::to_string(i));
       record.mRegion = RegionId("r");
-      record.mSpec.mTasks = kTasks;
+      record.mSpec.mTasks = kTasksPerJob;
       record.mSpec.mPerTask = { Slots(1), Accelerators(1), Cores(8), MemoryMiB(1024) };
       record.mSpec.mPayloads = { "{}" };
       record.mState = jobs::JobState::Finished;
       record.mAttempt = 1;
-      record.mEndedMs = mNow - kDays * 24 * kHour + i * 24 * kHour / aJobsPerDay;
-      for (int task = 0; task < kTasks; ++task) {
+      record.mEndedMs = mNow - kFilledDays * 24 * kHourMs + i * 24 * kHourMs / aJobsPerDay;
+      for (int task = 0; task < kTasksPerJob; ++task) {
         record.mPlacements.push_back(
           { WorkerId("worker-" + std::to_string(1000 + task)), SocketAddress("10.0.0.1", 9000) });
         record.mAnswers.push_back({ static_cast<std::int64_t>(aPieceBytes), 1, HashText(piece) });
@@ -100,8 +101,8 @@
       }
       Put("done/r/" + record.mJob.Value(), jobs::WriteJobRecord(record));
     }
-    for (int i = 0; i < kDays * aChangesPerDay; ++i) {
-      const auto applied = mNow - kDays * 24 * kHour + i * 24 * kHour / aChangesPerDay;
+    for (int i = 0; i < kFilledDays * aChangesPerDay; ++i) {
+      const auto applied = mNow - kFilledDays * 24 * kHourMs + i * 24 * kHourMs / aChangesPerDay;
       Put(configstore::ChangeKey(ChangeId("c-" + mRandom.Token())),
           DumpJson(configstore::WriteChange(
             { ConfigVersion(i), Sha256Hex(std::to_string(i)).substr(0, 32), applied })));
@@ -109,8 +110,9 @@
     Flush();
   }
 
-  // Lists all keys with their values, as the sweeper did before it read names.
-  void List()
+  // Lists the keys of each prefix with their values in one call, for comparison with the sweeper,
+  // which lists names or small pages instead.
+  void ListAll()
   {
     for (const auto* it : { "claims/", "changes/", "answers/", "jobs/", "done/" }) {
       const auto start = std::chrono::steady_clock::now();
@@ -127,7 +129,8 @@
     }
   }
 
-  // Runs the sweeper until a run ends. Two runs with one sweeper: the second one knows the records.
+  // Measures consecutive runs of one sweeper. From the second run on, the sweeper knows the
+  // records.
   void Sweep(const retention::SweeperSettings& aSettings, int aRuns)
   {
     retention::Sweeper<kv::ConsulStore> sweeper(mLoop, mStore, mRandom, RegionId("r"), aSettings);
@@ -174,13 +177,16 @@
   int runs = 2;
   std::string part = "all";
   AddSetting(app, "--server", store.mServer, "Address of the key-value service");
-  AddSetting(app, "--jobs-per-day", jobs, "Done jobs of a day, of which 8 days are kept");
-  AddSetting(app, "--changes-per-day", changes, "Configuration changes of a day");
-  AddSetting(app, "--piece-bytes", pieceBytes, "Size of an answer piece");
-  AddSetting(app, "--runs", runs, "Runs of one sweeper");
-  AddSetting(app, "--part", part, "all, fill, list or sweep");
-  AddSetting(app, "--read-period-ms", settings.mReadPeriod, "Time between two reads");
-  AddSetting(app, "--write-period-ms", settings.mTransactionPeriod, "Time between two writes");
+  AddSetting(app, "--jobs-per-day", jobs, "Finished jobs per day; jobs of 8 days are written");
+  AddSetting(app, "--changes-per-day", changes,
+             "Configuration changes per day; changes of 8 days are written");
+  AddSetting(app, "--piece-bytes", pieceBytes, "Size of an answer piece in bytes");
+  AddSetting(app, "--runs", runs, "Number of consecutive runs of one sweeper");
+  AddSetting(app, "--part", part, "Part to run: all (fill and sweep), fill, list or sweep");
+  AddSetting(app, "--read-period-ms", settings.mReadPeriod,
+             "Time between two reads of the sweeper");
+  AddSetting(app, "--write-period-ms", settings.mTransactionPeriod,
+             "Time between two transactions of the sweeper");
   int status = 0;
   if (!ParseSettings(app, aCount, aArguments, status)) {
     return status;
@@ -191,7 +197,7 @@
     bench.Fill(jobs, changes, static_cast<std::size_t>(pieceBytes));
   }
   if (part == "list") {
-    bench.List();
+    bench.ListAll();
   } else if (part != "fill") {
     bench.Sweep(settings, runs);
   }
