--- a/src/scheduler/Capacity.h
+++ b/src/scheduler/Capacity.h
@@ -9,7 +9,7 @@
 // Thousandths of a processor core.
 using MilliCores = StrongCount<struct MilliCoresTag>;
 
-// An amount of a worker's resources, with processors in thousandths of a core.
+// An amount of worker resources: what a worker has, what is free on it, or what a task needs.
 struct Capacity
 {
   MilliCores mCpu;
@@ -18,19 +18,19 @@
 
   bool operator==(const Capacity&) const = default;
 
-  // Whether every component fits into the other amount.
+  // Whether this amount is at most aOther in every component.
   bool FitsInto(const Capacity& aOther) const
   {
     return mCpu <= aOther.mCpu && mMemory <= aOther.mMemory &&
            mAccelerators <= aOther.mAccelerators;
   }
-  // How many copies of this amount fit into the other one, at most aLimit.
+  // Returns how many times this amount fits into aOther, but at most aLimit.
   int CopiesIn(const Capacity& aOther, int aLimit) const
   {
     std::int64_t n = aLimit;
-    const auto bound = [&n](std::int64_t aNeed, std::int64_t aRoom) {
+    const auto bound = [&n](std::int64_t aNeed, std::int64_t aAvailable) {
       if (aNeed > 0) {
-        n = std::min(n, aRoom < 0 ? 0 : aRoom / aNeed);
+        n = std::min(n, aAvailable < 0 ? 0 : aAvailable / aNeed);
       }
     };
     bound(mCpu.Value(), aOther.mCpu.Value());
--- a/src/scheduler/Fleet.h
+++ b/src/scheduler/Fleet.h
@@ -9,72 +9,82 @@
 
 namespace lovagerock::scheduler {
 
+// The state of a run on a worker, as far as the scheduler knows.
 enum class RunPhase
 {
-  // The start was ordered and isn't confirmed yet.
-  Ordered,
+  // The worker has not confirmed the start order yet.
+  Starting,
   Running,
-  // The stop was decided; the run holds resources until its end is listed.
+  // The run is to be stopped. It occupies its resources until the worker reports that it ended, or
+  // until the worker's lease has expired.
   Stopping,
 };
 
-// A run that holds resources on a worker.
+// A run that occupies resources on a worker.
 struct PlacedRun
 {
   RunRef mRun;
   Capacity mDemand;
-  RunPhase mPhase = RunPhase::Ordered;
+  RunPhase mPhase = RunPhase::Starting;
   TimePoint mStarted;
-  // Lists of the worker with an earlier clock don't tell about this run.
-  WorkerClock mKnownFrom;
-  // How many such lists in a row didn't contain it.
-  int mMissed = 0;
-  // When the last order about it was sent, and how many starts had no answer.
-  TimePoint mOrdered;
-  int mUnanswered = 0;
-  // Whether an order is on its way.
-  bool mInFlight = false;
-  // The worker's clock when it confirmed the stop.
-  std::optional<WorkerClock> mStopConfirmed;
-  // Progress that isn't saved is lost in a stop.
+  // The worker's clock when it last confirmed or reported this run. Only later reports that lack
+  // the run count as missed.
+  WorkerClock mLastConfirmedClock;
+  // How many later reports in a row lacked the run.
+  int mMissedReports = 0;
+  // When the last order for the run was issued; unset if none was, or if a stop has to be sent at
+  // once.
+  TimePoint mLastOrderSent;
+  int mUnansweredStarts = 0;
+  // Whether an order for the run awaits its outcome.
+  bool mOrderInFlight = false;
+  // The worker's clock when it confirmed the stop order.
+  std::optional<WorkerClock> mStopConfirmedClock;
+  // The task saves checkpoints, so that a stop loses only the work since the last one.
   bool mCheckpointing = false;
 };
 
-// A worker with what is known to hold its resources.
+// A worker and the runs that are known to occupy its resources.
 struct Worker
 {
   WorkerEntry mEntry;
-  // Whether it is registered at present.
-  bool mListed = true;
-  // Whether a scheduler that takes over would know that work may have been started there.
+  // Whether the worker has an entry in the registry.
+  bool mRegistered = true;
+  // Whether the stored rack record names this worker. A scheduler that takes over thus learns that
+  // runs may have been started there.
   bool mRecorded = false;
-  // Whether it has answered this scheduler, and so obeys no earlier one.
+  // Whether the worker has answered a lease renewal of this scheduler. From then on it rejects the
+  // orders of earlier schedulers.
   bool mConfirmed = false;
-  // Until when anything may run there without another renewal; an upper bound.
-  TimePoint mHeldUntil;
-  // No new work until then.
+  // Upper bound on when the worker's lease expires unless it is renewed. Nothing runs there later.
+  TimePoint mLeaseExpiry;
+  // No run is started on the worker before this time.
   TimePoint mAvoidUntil;
   TimePoint mDrainingSince;
-  // Ended runs up to this number were taken into account, and are safely stored, respectively.
+  // The highest FinishedRun::mNumber that was processed, and the highest one whose effects are
+  // stored.
   std::int64_t mSeen = 0;
   std::int64_t mStored = 0;
-  // Failed runs in a row, and the job of the last one.
-  int mFailures = 0;
-  JobId mFailedJob;
+  // Failed runs since the last one that completed. Successive failures of one job count once: a
+  // worker counts as failing only if runs of several jobs fail there.
+  int mConsecutiveFailures = 0;
+  // The job of the last failed run.
+  JobId mLastFailedJob;
   std::vector<PlacedRun> mRuns;
+  // The sum of the demands of mRuns.
   Capacity mUsed;
 
-  // Whether work may be started there, as far as its registration goes.
-  bool IsOpen() const { return mListed && !mEntry.mDraining; }
-  // Whether its rack's record has to contain it.
-  bool BelongsInRecord() const { return IsOpen() || (mRecorded && !mConfirmed); }
+  // Whether the worker is registered and not draining.
+  bool AcceptsWork() const { return mRegistered && !mEntry.mDraining; }
+  // Whether the record of its rack has to name the worker: runs may be started there, or an earlier
+  // scheduler may have started some.
+  bool BelongsInRackRecord() const { return AcceptsWork() || (mRecorded && !mConfirmed); }
   Capacity Free() const { return mEntry.mCapacity - mUsed; }
   PlacedRun* Find(const RunRef& aRun);
   PlacedRun& Add(PlacedRun aRun);
   void Remove(const RunRef& aRun);
 };
 
-// The workers by id.
 using Fleet = std::map<WorkerId, Worker>;
 
 } // namespace lovagerock::scheduler
--- a/src/scheduler/Job.cpp
+++ b/src/scheduler/Job.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// Stands in for a run time that the caller didn't estimate.
-constexpr Duration kUnknownRunTime{ 3000 };
+// The assumed run time of a task without an estimate.
+constexpr Duration kDefaultRunTime{ 3000 };
 
 } // namespace
 
@@ -63,14 +63,14 @@
 }
 
 Occurrence&
-Job::At(int aOccurrence)
+Job::FindOrCreateOccurrence(int aOccurrence)
 {
-  auto [it, isNew] = mOpen.try_emplace(aOccurrence);
+  auto [it, isNew] = mOpenOccurrences.try_emplace(aOccurrence);
   if (isNew) {
     for (const auto& spec : mAccepted.mSpec.mSteps) {
       it->second.mSteps.emplace_back().mTasks.resize(static_cast<std::size_t>(spec.mCount));
     }
-    it->second.mReady.resize(mAccepted.mSpec.mSteps.size());
+    it->second.mReadySince.resize(mAccepted.mSpec.mSteps.size());
     mNextOccurrence = std::max(mNextOccurrence, aOccurrence + 1);
   }
   return it->second;
@@ -88,16 +88,17 @@
 }
 
 void
-Job::OpenDue(std::int64_t aNowMs, TimePoint aNow)
+Job::OpenDueOccurrences(std::int64_t aNowMs, TimePoint aNow)
 {
   while (mNextOccurrence < mAccepted.mSpec.Occurrences() &&
          (mAccepted.mSpec.mRepetitions == 0 || NextDueMs() <= aNowMs)) {
-    At(mNextOccurrence);
+    FindOrCreateOccurrence(mNextOccurrence);
   }
-  for (auto& [number, occurrence] : mOpen) {
+  for (auto& [number, occurrence] : mOpenOccurrences) {
     for (std::size_t i = 0; i < occurrence.mSteps.size(); ++i) {
-      if (occurrence.mReady[i] == TimePoint() && IsStepReady(occurrence, static_cast<int>(i))) {
-        occurrence.mReady[i] = aNow;
+      if (occurrence.mReadySince[i] == TimePoint() &&
+          IsStepReady(occurrence, static_cast<int>(i))) {
+        occurrence.mReadySince[i] = aNow;
       }
     }
   }
@@ -106,8 +107,8 @@
 const Task*
 Job::Find(const TaskRef& aTask) const
 {
-  const auto it = mOpen.find(aTask.mOccurrence);
-  if (it == mOpen.end() || aTask.mStep < 0 ||
+  const auto it = mOpenOccurrences.find(aTask.mOccurrence);
+  if (it == mOpenOccurrences.end() || aTask.mStep < 0 ||
       aTask.mStep >= static_cast<int>(it->second.mSteps.size())) {
     return nullptr;
   }
@@ -123,10 +124,10 @@
 }
 
 Task*
-Job::FindStarted(const TaskRef& aTask)
+Job::FindOrOpen(const TaskRef& aTask)
 {
   while (mNextOccurrence <= aTask.mOccurrence && mNextOccurrence < mAccepted.mSpec.Occurrences()) {
-    At(mNextOccurrence);
+    FindOrCreateOccurrence(mNextOccurrence);
   }
   return Find(aTask);
 }
@@ -148,12 +149,12 @@
   if (!task || task->mPhase == TaskPhase::Done) {
     return;
   }
-  auto& step = mOpen[aTask.mOccurrence].mSteps[aTask.mStep];
+  auto& step = mOpenOccurrences[aTask.mOccurrence].mSteps[aTask.mStep];
   const auto mark = [&step](Task& aDone) {
     if (aDone.mPhase != TaskPhase::Done) {
       aDone.mPhase = TaskPhase::Done;
       aDone.mCheckpoint.clear();
-      aDone.mAvoid.clear();
+      aDone.mExcludedWorkers.clear();
       ++step.mDone;
     }
   };
@@ -162,8 +163,8 @@
   } else {
     mark(*task);
   }
-  if (mOpen[aTask.mOccurrence].IsDone()) {
-    mOpen.erase(aTask.mOccurrence);
+  if (mOpenOccurrences[aTask.mOccurrence].IsDone()) {
+    mOpenOccurrences.erase(aTask.mOccurrence);
     ++mDoneOccurrences;
     if (mDoneOccurrences == mAccepted.mSpec.Occurrences()) {
       Finish(JobState::Completed, aNowMs);
@@ -172,7 +173,7 @@
 }
 
 std::vector<Duration>
-Job::ChainTimes(const Occurrence* aOccurrence) const
+Job::StepEndTimes(const Occurrence* aOccurrence) const
 {
   std::vector<Duration> ends;
   const auto& steps = mAccepted.mSpec.mSteps;
@@ -184,7 +185,7 @@
       }
     }
     const bool isDone = aOccurrence && aOccurrence->mSteps[i].IsDone();
-    const auto time = steps[i].mEstimate.count() > 0 ? steps[i].mEstimate : kUnknownRunTime;
+    const auto time = steps[i].mEstimate.count() > 0 ? steps[i].mEstimate : kDefaultRunTime;
     ends.push_back(begin + (isDone ? Duration(0) : time));
   }
   return ends;
@@ -193,7 +194,7 @@
 Duration
 Job::ExpectedRunTime() const
 {
-  const auto ends = ChainTimes(nullptr);
+  const auto ends = StepEndTimes(nullptr);
   return ends.empty() ? Duration(0) : *std::max_element(ends.begin(), ends.end());
 }
 
@@ -201,8 +202,8 @@
 Job::RemainingRunTime() const
 {
   Duration longest{ 0 };
-  for (const auto& [number, occurrence] : mOpen) {
-    const auto ends = ChainTimes(&occurrence);
+  for (const auto& [number, occurrence] : mOpenOccurrences) {
+    const auto ends = StepEndTimes(&occurrence);
     if (!ends.empty()) {
       longest = std::max(longest, *std::max_element(ends.begin(), ends.end()));
     }
@@ -213,9 +214,9 @@
 TimePoint
 Job::Objective() const
 {
-  const auto stretched =
+  const auto allowedRunTime =
     std::chrono::duration_cast<Duration>(ExpectedRunTime() * mPolicy.mSlackFactor);
-  return mAcceptedAt + mPolicy.mTargetLatency + stretched;
+  return mAcceptedAt + mPolicy.mTargetLatency + allowedRunTime;
 }
 
 Accelerators
--- a/src/scheduler/Job.h
+++ b/src/scheduler/Job.h
@@ -19,14 +19,15 @@
   Cancelled,
 };
 
-// Where the current run of a task is.
+// The state of a task and its current run.
 enum class TaskPhase
 {
-  // Has no run.
+  // The task has no current run.
   Waiting,
-  // A run was ordered or is at work; it holds resources.
+  // A run was ordered or is in progress, and occupies resources.
   Active,
-  // The run was told to stop; it holds resources until its end is listed.
+  // The run is being stopped. It occupies resources until the worker reports its end or the
+  // worker's lease has expired.
   Stopping,
   Done,
 };
@@ -36,41 +37,43 @@
   TaskPhase mPhase = TaskPhase::Waiting;
   // The highest run number used.
   int mRun = 0;
-  // The highest run number whose end was taken into account.
+  // The highest run number whose end was processed.
   int mEndedRun = 0;
-  // The runs that counted as attempts; a gang keeps them in its first task. Workers list ends in
-  // any order and more than once, so a number alone wouldn't tell which are counted.
+  // The numbers of the failed runs that were counted as attempts; a gang keeps them in its first
+  // task. Workers report ends in any order and repeatedly, so a count or the highest number would
+  // not tell which failures were counted already.
   std::vector<int> mFailedRuns;
   std::string mCheckpoint;
-  // The worker of the current run.
+  // The worker of the current run. In a waiting task, the worker of the run that the loaded
+  // progress names, which may still be in progress there.
   WorkerId mWorker;
   TimePoint mStarted;
   int mPercent = 0;
-  // Workers on which a run failed or couldn't start.
-  std::vector<WorkerId> mAvoid;
+  // Workers on which a run of this task failed.
+  std::vector<WorkerId> mExcludedWorkers;
 };
 
 struct Step
 {
   std::vector<Task> mTasks;
-  // Done tasks; all of them are done at once in a gang.
+  // The number of done tasks. A gang's tasks are done all at once.
   int mDone = 0;
 
   bool IsDone() const { return mDone == static_cast<int>(mTasks.size()); }
 };
 
-// One pass through the steps of a job.
+// One execution of all steps of a job; a repeated job has several.
 struct Occurrence
 {
   std::vector<Step> mSteps;
-  // Since when the step's tasks could run, per step; unset until then.
-  std::vector<TimePoint> mReady;
+  // Per step, the time since which its tasks may start; unset while earlier steps aren't done.
+  std::vector<TimePoint> mReadySince;
 
   bool IsDone() const;
 };
 
-// A job with the state of its tasks. Knows the rules of one job: which steps are due, what an end
-// of a run means, and when the job is over.
+// An accepted job with the state of its tasks. Determines which occurrences and steps are due, and
+// completes the job with its last task.
 class Job
 {
 public:
@@ -84,61 +87,69 @@
 
   JobState State() const;
   bool IsOver() const { return mFinal != JobState::Queued; }
-  // Ends the job; does nothing if it is over.
+  // Ends the job with the given state; does nothing if it is over.
   void Finish(JobState aFinal, std::int64_t aNowMs);
+  // Wall clock time of the job's end, in milliseconds since 1970.
   std::int64_t FinishedMs() const { return mFinishedMs; }
 
-  // The occurrence's state; creates it if it isn't done.
-  Occurrence& At(int aOccurrence);
-  // The occurrences that have begun and aren't done, by number.
-  std::map<int, Occurrence>& Open() { return mOpen; }
-  const std::map<int, Occurrence>& Open() const { return mOpen; }
-  // Opens the occurrences that are due.
-  void OpenDue(std::int64_t aNowMs, TimePoint aNow);
-  // When the next occurrence is due, in milliseconds since 1970; 0 if none is left.
+  // Returns the open occurrence with this number and creates it if there is none. The caller must
+  // not pass an occurrence that is done.
+  Occurrence& FindOrCreateOccurrence(int aOccurrence);
+  // The occurrences that are due and aren't done, by number.
+  std::map<int, Occurrence>& OpenOccurrences() { return mOpenOccurrences; }
+  const std::map<int, Occurrence>& OpenOccurrences() const { return mOpenOccurrences; }
+  // Creates the occurrences that have become due and records which steps have become ready.
+  void OpenDueOccurrences(std::int64_t aNowMs, TimePoint aNow);
+  // Returns when the next occurrence is due, in milliseconds since 1970, or 0 if none is left.
   std::int64_t NextDueMs() const;
 
-  // The task, or nothing if the job has no such task or its occurrence is done.
+  // Returns the task, or null if the job has no such task or its occurrence isn't open.
   Task* Find(const TaskRef& aTask);
   const Task* Find(const TaskRef& aTask) const;
-  // The same for a task that some scheduler has started, whose occurrence may not be due yet by our
-  // clock.
-  Task* FindStarted(const TaskRef& aTask);
+  // Returns the task like Find(), but first opens its occurrence if that isn't due yet by this
+  // process's clock. For tasks that an earlier scheduler, whose clock may be ahead, has started.
+  Task* FindOrOpen(const TaskRef& aTask);
+  // Whether all steps that this one depends on are done.
   bool IsStepReady(const Occurrence& aOccurrence, int aStep) const;
-  // Marks a task as done, and its whole step if that is a gang. Completes the job with its last
-  // occurrence.
+  // Marks a task as done, and its whole step if that is a gang. Completes the job when its last
+  // occurrence is done.
   void MarkDone(const TaskRef& aTask, std::int64_t aNowMs);
 
-  // The expected run time of the longest chain of steps.
+  // Returns the expected run time of the longest chain of dependent steps.
   Duration ExpectedRunTime() const;
-  // The expected time until the last occurrence that has begun is done.
+  // Returns the expected time until all open occurrences are done. Steps that aren't done
+  // count with their whole expected run time, even if their tasks have progressed.
   Duration RemainingRunTime() const;
-  // Until when the job should be done.
+  // Returns the time by which the job should be done, see QueuePolicy::mSlackFactor.
   TimePoint Objective() const;
-  // The accelerators of all tasks of the widest step.
+  // Returns the sum of the accelerators of a step's tasks, for the step where it is largest.
   Accelerators LargestStepAccelerators() const;
 
-  // Occurrences that have begun or are done have numbers below this.
+  // The number of the next occurrence to open; those below are open or done.
   int mNextOccurrence = 0;
   int mDoneOccurrences = 0;
+  // Whether any task is known to have started.
   bool mBegun = false;
-  // Loaded from the store after a takeover: a run of an earlier scheduler may be unknown yet.
+  // Whether the job was loaded from the store at a takeover. Runs that an earlier scheduler started
+  // may not be known yet.
   bool mInherited = false;
 
 private:
   friend struct JobRecordAccess;
-  std::vector<Duration> ChainTimes(const Occurrence* aOccurrence) const;
+  // Returns for each step its expected end, counted from the start of the occurrence. Steps that
+  // are done in aOccurrence, which may be null, take no time.
+  std::vector<Duration> StepEndTimes(const Occurrence* aOccurrence) const;
 
   AcceptedJob mAccepted;
   QueuePolicy mPolicy;
   TimePoint mAcceptedAt;
-  std::map<int, Occurrence> mOpen;
-  // Queued while the job isn't over.
+  std::map<int, Occurrence> mOpenOccurrences;
+  // The state in which the job ended; Queued while it isn't over.
   JobState mFinal = JobState::Queued;
   std::int64_t mFinishedMs = 0;
 };
 
-// The state's name in records and logs.
+// Returns the state's name as used in stored records and logs.
 const char*
 JobStateName(JobState aState);
 
--- a/src/scheduler/JobRecord.cpp
+++ b/src/scheduler/JobRecord.cpp
@@ -5,7 +5,7 @@
 
 namespace lovagerock::scheduler {
 
-// Gives the codec the parts of a job that others don't change.
+// Lets ReadProgress() set private members of Job.
 struct JobRecordAccess
 {
   static void SetFinal(Job& aJob, JobState aState, std::int64_t aFinishedMs)
@@ -95,8 +95,9 @@
   return policy;
 }
 
-// A task's row: 1 if it is done, 0 if it never ran, else the highest run, the highest ended run,
-// the failed runs, the worker and the checkpoint.
+// Serializes a task: 1 if it is done, 0 if it never ran, else an array of the highest run number,
+// the highest ended run number, the failed runs, the worker of the current run (empty if there is
+// none) and the checkpoint.
 Json
 WriteTask(const Task& aTask)
 {
@@ -131,7 +132,7 @@
 void
 ReadOccurrence(const Json& aJson, Job& aJob)
 {
-  auto& occurrence = aJob.At(aJson.at("number").get<int>());
+  auto& occurrence = aJob.FindOrCreateOccurrence(aJson.at("number").get<int>());
   const auto& steps = aJson.at("steps");
   for (std::size_t i = 0; i < occurrence.mSteps.size(); ++i) {
     auto& step = occurrence.mSteps[i];
@@ -200,7 +201,7 @@
     return DumpJson(json);
   }
   auto& occurrences = json["open"] = Json::array();
-  for (const auto& [number, occurrence] : aJob.Open()) {
+  for (const auto& [number, occurrence] : aJob.OpenOccurrences()) {
     Json steps = Json::array();
     for (const auto& step : occurrence.mSteps) {
       Json tasks = Json::array();
--- a/src/scheduler/JobRecord.h
+++ b/src/scheduler/JobRecord.h
@@ -8,25 +8,26 @@
 
 namespace lovagerock::scheduler {
 
-// The stored form of an accepted job.
+// Serializes an accepted job for the store.
 std::string
 WriteAcceptedJob(const AcceptedJob& aJob);
-// Reads it; nothing if it is malformed.
+// Parses a stored job; returns nullopt if it is malformed.
 std::optional<AcceptedJob>
 ReadAcceptedJob(const std::string& aText);
 
-// The stored form of a job's progress: what a scheduler that takes over must know and can't learn
-// from the workers.
+// Serializes a job's progress for the store: the state that a scheduler needs when it takes over
+// and can't learn from the workers.
 std::string
 WriteProgress(const Job& aJob);
-// Sets a new job's state from its stored progress; false if that is malformed.
+// Sets the state of a newly created job from its stored progress. Returns false if the progress is
+// malformed; the job may then be partly changed.
 bool
 ReadProgress(const std::string& aText, Job& aJob);
 
-// The state in a stored progress, without the rest; nothing if it is malformed.
+// Returns the job state from a stored progress; nullopt if it is malformed.
 std::optional<JobState>
 ReadState(const std::string& aText);
-// Reads a state's name.
+// The inverse of JobStateName(); nullopt for an unknown name.
 std::optional<JobState>
 ParseJobState(std::string_view aName);
 
--- a/src/scheduler/Orders.h
+++ b/src/scheduler/Orders.h
@@ -9,58 +9,62 @@
 
 namespace lovagerock::scheduler {
 
-// A run to start on a worker.
+// An order to a worker to start a run.
 struct StartOrder
 {
   WorkerId mWorker;
   RunRef mRun;
   std::string mPayload;
+  // The checkpoint to resume from; empty to start from the beginning.
   std::string mCheckpoint;
 };
 
-// A run to stop on a worker.
+// An order to a worker to stop a run.
 struct StopOrder
 {
   WorkerId mWorker;
   RunRef mRun;
 };
 
-// What to send to the workers now.
+// The orders that one call of Scheduler::Plan() issues.
 struct Orders
 {
   std::vector<StartOrder> mStarts;
   std::vector<StopOrder> mStops;
 };
 
-// A job's progress to store.
+// A job's serialized progress, to be written to the store.
 struct ProgressWrite
 {
   JobId mJob;
   std::string mText;
 };
 
-// The number of ended runs, per worker, whose effects are stored together with some progress.
-struct SeenMark
+// The highest FinishedRun::mNumber of a worker that was processed. Once the progress of the same
+// batch is stored, the worker may forget its ended runs up to this number.
+struct ProcessedEnds
 {
   WorkerId mWorker;
   WorkerBirth mBirth;
   std::int64_t mNumber = 0;
 };
 
-// The workers of a rack on which work may be started, to store.
+// The workers of a rack on which runs may be started, to be written to the store as the rack's
+// record.
 struct RackWrite
 {
   RackId mRack;
   std::vector<WorkerContact> mWorkers;
 };
 
-// Writes that belong together, and what may be forgotten by the workers once they are stored. The
-// racks have to be written after the progress.
+// Writes to the store that belong together, and the ended runs that workers may forget once they
+// are stored. The racks have to be written after the progress: a worker is left out of its rack's
+// record only if stored progress names all runs that were started there.
 struct ProgressBatch
 {
   std::vector<ProgressWrite> mWrites;
   std::vector<RackWrite> mRacks;
-  std::vector<SeenMark> mSeen;
+  std::vector<ProcessedEnds> mSeen;
 };
 
 } // namespace lovagerock::scheduler
--- a/src/scheduler/Placer.cpp
+++ b/src/scheduler/Placer.cpp
@@ -22,8 +22,8 @@
 {
   std::map<RackId, std::vector<const Worker*>> racks;
   for (const auto& [id, worker] : aFleet) {
-    const bool isUsable = worker.mConfirmed && worker.IsOpen() && worker.mRecorded &&
-                          worker.mAvoidUntil <= aNow && worker.mHeldUntil > aNow;
+    const bool isUsable = worker.mConfirmed && worker.AcceptsWork() && worker.mRecorded &&
+                          worker.mAvoidUntil <= aNow && worker.mLeaseExpiry > aNow;
     if (isUsable) {
       racks[worker.mEntry.mRack].push_back(&worker);
     }
@@ -41,7 +41,7 @@
 }
 
 void
-Placer::SetAside(const WorkerId& aWorker, const Capacity& aDemand)
+Placer::Reserve(const WorkerId& aWorker, const Capacity& aDemand)
 {
   if (const auto it = mPositions.find(aWorker); it != mPositions.end()) {
     mCandidates[it->second].mFree -= aDemand;
@@ -49,7 +49,7 @@
 }
 
 void
-Placer::GiveBack(const WorkerId& aWorker, const Capacity& aDemand)
+Placer::Release(const WorkerId& aWorker, const Capacity& aDemand)
 {
   if (const auto it = mPositions.find(aWorker); it != mPositions.end()) {
     mCandidates[it->second].mFree += aDemand;
@@ -64,7 +64,7 @@
 }
 
 int
-Placer::Limit(const Worker& aWorker, const PlacementRequest& aRequest) const
+Placer::MaxCopies(const Worker& aWorker, const PlacementRequest& aRequest) const
 {
   if (aRequest.mStep->mMaxPerWorker <= 0) {
     return aRequest.mCount;
@@ -84,8 +84,8 @@
          (aRequest.mRack.IsEmpty() || entry.mRack == aRequest.mRack) &&
          (label.empty() ||
           std::find(entry.mLabels.begin(), entry.mLabels.end(), label) != entry.mLabels.end()) &&
-         std::find(aRequest.mAvoid.begin(), aRequest.mAvoid.end(), entry.mId) ==
-           aRequest.mAvoid.end();
+         std::find(aRequest.mExcludedWorkers.begin(), aRequest.mExcludedWorkers.end(), entry.mId) ==
+           aRequest.mExcludedWorkers.end();
 }
 
 std::vector<Placer::Group>
@@ -103,7 +103,7 @@
       candidate.mFree = it.mWorker->mEntry.mCapacity;
     }
     candidate.mCopies =
-      aRequest.mStep->mDemand.CopiesIn(candidate.mFree, Limit(*it.mWorker, aRequest));
+      aRequest.mStep->mDemand.CopiesIn(candidate.mFree, MaxCopies(*it.mWorker, aRequest));
     if (groups.empty() || (isByRack && groups.back().back().mRack != it.mRack)) {
       groups.emplace_back();
     }
@@ -184,7 +184,7 @@
         break;
       }
       const auto& capacity = it.mWorker->mEntry.mCapacity;
-      copies += aRequest.mStep->mDemand.CopiesIn(capacity, Limit(*it.mWorker, aRequest));
+      copies += aRequest.mStep->mDemand.CopiesIn(capacity, MaxCopies(*it.mWorker, aRequest));
       free += it.mFree.mAccelerators;
       workers.push_back(it.mWorker->mEntry.mId);
     }
@@ -199,7 +199,7 @@
 }
 
 bool
-Placer::FitsEmpty(const PlacementRequest& aRequest) const
+Placer::FitsOnIdleWorkers(const PlacementRequest& aRequest) const
 {
   const auto groups = Groups(aRequest, true);
   return std::any_of(groups.begin(), groups.end(), [&aRequest](const auto& aGroup) {
@@ -212,7 +212,7 @@
                    const PlacementRequest& aRequest) const
 {
   const auto& demand = aRequest.mStep->mDemand;
-  const int limit = Limit(*aCandidate.mWorker, aRequest);
+  const int limit = MaxCopies(*aCandidate.mWorker, aRequest);
   CopyCost cost;
   auto free = aCandidate.mFree;
   for (const auto& it : aOptions) {
@@ -226,7 +226,8 @@
     cost.mVictims.clear();
     return cost;
   }
-  // The last one may have made earlier ones needless, the most expensive first.
+  // The last run added may free enough on its own to spare cheaper ones. Tries to spare the most
+  // expensive ones first.
   for (auto it = cost.mVictims.rbegin(); it != cost.mVictims.rend();) {
     const auto without = free - it->mRun->mDemand;
     if (demand.CopiesIn(without, limit) > aCandidate.mCopies) {
@@ -250,7 +251,7 @@
   for (std::size_t i = 0; i < group.size(); ++i) {
     for (const auto& run : group[i].mWorker->mRuns) {
       if (run.mPhase == RunPhase::Stopping) {
-        // Its resources come free without another stop.
+        // The run is being stopped already, so its resources become free at no cost.
         group[i].mFree += run.mDemand;
       } else if (const auto cost = aCost(run)) {
         options[i].push_back({ *cost, &run });
@@ -259,7 +260,7 @@
     std::sort(options[i].begin(), options[i].end(),
               [](const auto& aLeft, const auto& aRight) { return aLeft.mCost < aRight.mCost; });
     group[i].mCopies =
-      aRequest.mStep->mDemand.CopiesIn(group[i].mFree, Limit(*group[i].mWorker, aRequest));
+      aRequest.mStep->mDemand.CopiesIn(group[i].mFree, MaxCopies(*group[i].mWorker, aRequest));
   }
   std::vector<CopyCost> costs;
   for (std::size_t i = 0; i < group.size(); ++i) {
@@ -287,13 +288,14 @@
                     [&victim](const auto& aOption) { return aOption.mRun == victim.mRun; });
     }
     const int now =
-      aRequest.mStep->mDemand.CopiesIn(candidate.mFree, Limit(*candidate.mWorker, aRequest));
+      aRequest.mStep->mDemand.CopiesIn(candidate.mFree, MaxCopies(*candidate.mWorker, aRequest));
     copies += now - candidate.mCopies;
     candidate.mCopies = now;
     costs[i] = CostOfCopy(candidate, options[i], aRequest);
   }
   plan.mWorkers = Fill(group, aRequest);
-  // Stops on workers that aren't used after all would be in vain.
+  // Drops the victims on workers that Fill() didn't choose: stopping them would free nothing
+  // useful.
   std::erase_if(plan.mVictims, [&plan](const auto& aVictim) {
     return std::find(plan.mWorkers.begin(), plan.mWorkers.end(), aVictim.first) ==
            plan.mWorkers.end();
@@ -308,7 +310,7 @@
   double bestTotal = std::numeric_limits<double>::max();
   auto groups = Groups(aRequest, false);
   if (aRequest.mCount == 1 && !groups.empty()) {
-    // A single task needs room on one worker only.
+    // A single task needs only one worker, so each worker is compared on its own.
     std::vector<Group> single;
     for (const auto& group : groups) {
       for (const auto& it : group) {
--- a/src/scheduler/Placer.h
+++ b/src/scheduler/Placer.h
@@ -11,74 +11,78 @@
 
 namespace lovagerock::scheduler {
 
-// Tasks of one step to place together: all of a gang, or any number of independent ones.
+// Tasks of one step that need workers: all tasks of a gang, or any number of independent ones.
 struct PlacementRequest
 {
   ServiceId mService;
   const StepSpec* mStep = nullptr;
   int mCount = 1;
-  // Workers to keep off.
-  std::vector<WorkerId> mAvoid;
-  // Tasks of the same step that each worker has already.
+  // Workers that must not be chosen.
+  std::vector<WorkerId> mExcludedWorkers;
+  // The number of tasks of the same step that each worker already runs.
   std::map<WorkerId, int> mPresent;
-  // The rack to stay in; empty if any will do.
+  // The rack to which the choice is limited; empty for any rack.
   RackId mRack;
 };
 
-// Runs to stop, and the workers that then have room, one per task.
+// The runs to stop, and the workers that then have enough free resources, one per task.
 struct EvictionPlan
 {
   std::vector<std::pair<WorkerId, RunRef>> mVictims;
   std::vector<WorkerId> mWorkers;
 };
 
-// What it costs to stop a run; nothing if it must not be stopped.
+// Returns the cost of stopping a run; nullopt if it must not be stopped.
 using EvictionCost = std::function<std::optional<double>(const PlacedRun&)>;
 
-// Chooses workers for tasks. Keeps the resources set aside so far, so that the choices of one plan
-// don't collide. Reads the fleet once, so that a choice costs a few comparisons per worker.
+// Chooses workers for tasks. Tracks reserved resources, so that the choices of one plan don't
+// overlap. Collects the usable workers and their free resources once, in the constructor, so that
+// each choice takes only a few comparisons per worker. The fleet must outlive the placer.
 class Placer
 {
 public:
   Placer(const Fleet& aFleet, TimePoint aNow);
 
-  // Sets resources on a worker aside; all later choices leave them free.
-  void SetAside(const WorkerId& aWorker, const Capacity& aDemand);
-  // Gives them back.
-  void GiveBack(const WorkerId& aWorker, const Capacity& aDemand);
+  // Reserves resources on a worker; later choices treat them as used.
+  void Reserve(const WorkerId& aWorker, const Capacity& aDemand);
+  // Releases resources that were reserved.
+  void Release(const WorkerId& aWorker, const Capacity& aDemand);
 
-  // Workers for all tasks of the request, one per task; nothing if they don't fit.
+  // Returns workers for all tasks of the request, one per task; nullopt if not all tasks fit.
   std::optional<std::vector<WorkerId>> Place(const PlacementRequest& aRequest) const;
-  // Workers for as many tasks of the request as fit.
+  // Returns workers for as many tasks of the request as fit, one per task.
   std::vector<WorkerId> PlaceSome(const PlacementRequest& aRequest) const;
-  // The cheapest runs to stop so that all tasks of the request fit.
+  // Returns a set of runs to stop so that all tasks of the request fit, chosen greedily by cost;
+  // nullopt if there is none.
   std::optional<EvictionPlan>
   Evict(const PlacementRequest& aRequest, const EvictionCost& aCost) const;
-  // Keeps all that is free now on the workers on which all tasks of the request will fit soonest,
-  // because they have most room, from all later choices.
+  // Reserves everything that is free on a set of workers that can hold all tasks of the request
+  // once their present runs have ended. Takes the workers with the most free resources, which are
+  // likely to have enough soonest.
   void Gather(const PlacementRequest& aRequest);
-  // Whether the request would fit if nothing ran on the workers it may use.
-  bool FitsEmpty(const PlacementRequest& aRequest) const;
+  // Whether the request would fit if no run occupied the workers that it may use.
+  bool FitsOnIdleWorkers(const PlacementRequest& aRequest) const;
 
 private:
-  // A worker that may take work, with what is free on it.
+  // A worker that accepts work, with its free resources.
   struct Candidate
   {
     const Worker* mWorker = nullptr;
     Capacity mFree;
-    // Racks and services are numbered in the order of their first worker.
+    // The numbers of the worker's rack and service, in the order of their first worker.
     int mRack = 0;
     int mService = 0;
+    // How many tasks of the request fit.
     int mCopies = 0;
   };
   using Group = std::vector<Candidate>;
-  // A run that may be stopped.
+  // A run that may be stopped, and the cost of stopping it.
   struct EvictionOption
   {
     double mCost = 0;
     const PlacedRun* mRun = nullptr;
   };
-  // What to stop on a worker for one more task there.
+  // The runs to stop on a worker so that at least one more task fits there, and their total cost.
   struct CopyCost
   {
     bool mIsPossible = false;
@@ -86,22 +90,30 @@
     std::vector<EvictionOption> mVictims;
   };
 
+  // Returns the service's number in mServices; -1 if no candidate belongs to it.
   int ServiceNumber(const ServiceId& aService) const;
-  int Limit(const Worker& aWorker, const PlacementRequest& aRequest) const;
+  // Returns how many tasks of the request the worker may take, regardless of its resources.
+  int MaxCopies(const Worker& aWorker, const PlacementRequest& aRequest) const;
   bool
   IsEligible(const Candidate& aCandidate, int aService, const PlacementRequest& aRequest) const;
-  // The eligible workers, by rack if the tasks must share one, else all together.
+  // Returns the eligible workers: one group per rack if the step is rack-local, else a single
+  // group. With aIsEmpty, treats all their resources as free.
   std::vector<Group> Groups(const PlacementRequest& aRequest, bool aIsEmpty) const;
+  // Chooses workers from the group, one per task, for as many tasks as fit. Takes workers in the
+  // preferred rack first, then those with the least free resources.
   static std::vector<WorkerId> Fill(Group aGroup, const PlacementRequest& aRequest);
-  // The options are sorted by cost.
+  // aOptions must be sorted by ascending cost.
   CopyCost CostOfCopy(const Candidate& aCandidate, const std::vector<EvictionOption>& aOptions,
                       const PlacementRequest& aRequest) const;
+  // Implements Evict() for one group. Sets aTotal to the cost of the plan.
   std::optional<EvictionPlan> EvictIn(const Group& aGroup, const PlacementRequest& aRequest,
                                       const EvictionCost& aCost, double& aTotal) const;
 
   // Sorted by rack.
   std::vector<Candidate> mCandidates;
+  // The index of each worker in mCandidates.
   std::unordered_map<WorkerId, std::size_t> mPositions;
+  // The number of each service, see Candidate::mService.
   std::map<ServiceId, int> mServices;
 };
 
--- a/src/scheduler/RackRecord.h
+++ b/src/scheduler/RackRecord.h
@@ -9,17 +9,18 @@
 
 namespace lovagerock::scheduler {
 
-// How a scheduler that takes over reaches a worker that isn't registered.
+// The address of a worker, so that a scheduler that takes over can reach it even if it isn't
+// registered.
 struct WorkerContact
 {
   WorkerId mWorker;
   SocketAddress mAddress;
 };
 
-// The stored form of the workers of a rack on which work may be started.
+// Serializes the workers of a rack on which runs may be started, for the store.
 std::string
 WriteRackRecord(const std::vector<WorkerContact>& aWorkers);
-// Reads it; nothing if it is malformed.
+// Parses a stored rack record; returns nullopt if it is malformed.
 std::optional<std::vector<WorkerContact>>
 ReadRackRecord(const std::string& aText);
 
--- a/src/scheduler/Scheduler.cpp
+++ b/src/scheduler/Scheduler.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// Workers that a task keeps off because it failed there.
-constexpr std::size_t kMaxAvoided = 6;
+// The maximum number of workers that a task is kept off because its runs failed there.
+constexpr std::size_t kMaxExcludedWorkers = 6;
 
 } // namespace
 
@@ -55,13 +55,13 @@
   if (const auto it = mQueues.find(aJob.mQueue); it != mQueues.end()) {
     job.SetPolicy(it->second);
   }
-  // Workers may list its runs before the next plan.
-  job.OpenDue(aNow.mWallMs, aNow.mSteady);
-  for (const auto& [number, occurrence] : job.Open()) {
+  // Opens due occurrences now, since workers may report their runs before the next plan.
+  job.OpenDueOccurrences(aNow.mWallMs, aNow.mSteady);
+  for (const auto& [number, occurrence] : job.OpenOccurrences()) {
     for (const auto& step : occurrence.mSteps) {
       for (const auto& task : step.mTasks) {
         if (!task.mWorker.IsEmpty() && !mFleet.contains(task.mWorker)) {
-          mAwaited.insert(task.mWorker);
+          mAwaitedWorkers.insert(task.mWorker);
         }
       }
     }
@@ -85,7 +85,7 @@
 }
 
 void
-Scheduler::Touch(const JobId& aJob)
+Scheduler::MarkDirty(const JobId& aJob)
 {
   mDirty.insert(aJob);
 }
@@ -98,7 +98,7 @@
     return;
   }
   job->Finish(JobState::Cancelled, aNow.mWallMs);
-  Touch(aJob);
+  MarkDirty(aJob);
   LogEvent("job_cancelled").With("job", aJob);
 }
 
@@ -140,9 +140,9 @@
     worker.mEntry.mId = contact.mWorker;
     worker.mEntry.mAddress = contact.mAddress;
     worker.mEntry.mRack = aRack;
-    worker.mListed = false;
+    worker.mRegistered = false;
     worker.mRecorded = true;
-    worker.mHeldUntil = mInheritedUntil;
+    worker.mLeaseExpiry = mInheritedUntil;
   }
 }
 
@@ -152,36 +152,36 @@
   auto [it, isNew] = mFleet.try_emplace(aEntry.mId);
   auto& worker = it->second;
   const auto& known = worker.mEntry;
-  if (isNew || !worker.mListed || known.mDraining != aEntry.mDraining ||
+  if (isNew || !worker.mRegistered || known.mDraining != aEntry.mDraining ||
       known.mRack != aEntry.mRack || !(known.mAddress == aEntry.mAddress)) {
     mDirtyRacks.insert(aEntry.mRack);
     mDirtyRacks.insert(isNew ? aEntry.mRack : known.mRack);
   }
   const auto birth = worker.mEntry.mBirth;
-  const bool isReborn = !isNew && aEntry.mBirth > birth && birth.Value() != 0;
-  if (isReborn) {
+  const bool isRestarted = !isNew && aEntry.mBirth > birth && birth.Value() != 0;
+  if (isRestarted) {
     OnWorkerReplaced(aEntry.mId, aNow);
   }
-  if (aEntry.mDraining && !(worker.mEntry.mDraining && worker.mListed)) {
+  if (aEntry.mDraining && !(worker.mEntry.mDraining && worker.mRegistered)) {
     worker.mDrainingSince = aNow.mSteady;
   }
   if (isNew) {
     // An earlier scheduler may have renewed its lease just before the takeover.
-    worker.mHeldUntil = mInheritedUntil;
+    worker.mLeaseExpiry = mInheritedUntil;
   }
   worker.mEntry = aEntry;
-  // A report of the worker may have told of a later life than its entry.
+  // A report of the worker may have named a later incarnation than its registry entry does.
   worker.mEntry.mBirth = std::max(birth, aEntry.mBirth);
-  worker.mListed = true;
-  mAwaited.erase(aEntry.mId);
+  worker.mRegistered = true;
+  mAwaitedWorkers.erase(aEntry.mId);
 }
 
 void
 Scheduler::OnWorkerUnlisted(const WorkerId& aWorker)
 {
   const auto it = mFleet.find(aWorker);
-  if (it != mFleet.end() && it->second.mListed) {
-    it->second.mListed = false;
+  if (it != mFleet.end() && it->second.mRegistered) {
+    it->second.mRegistered = false;
     mDirtyRacks.insert(it->second.mEntry.mRack);
   }
 }
@@ -191,12 +191,12 @@
 {
   const auto it = mFleet.find(aWorker);
   if (it != mFleet.end()) {
-    it->second.mHeldUntil = std::max(it->second.mHeldUntil, aNow.mSteady + LongestHold());
+    it->second.mLeaseExpiry = std::max(it->second.mLeaseExpiry, aNow.mSteady + MaxLeaseDuration());
   }
 }
 
 Duration
-Scheduler::LongestHold() const
+Scheduler::MaxLeaseDuration() const
 {
   return mSettings.mHold * (100 + mSettings.mClockDriftPercent) / 100;
 }
@@ -212,17 +212,17 @@
   DropAllRuns(it->second, aNow);
   it->second.mSeen = 0;
   it->second.mStored = 0;
-  it->second.mFailures = 0;
+  it->second.mConsecutiveFailures = 0;
   it->second.mConfirmed = false;
-  it->second.mHeldUntil = aNow.mSteady;
+  it->second.mLeaseExpiry = aNow.mSteady;
 }
 
 void
 Scheduler::OnWorkerRefused(const WorkerId& aWorker, const Now& aNow)
 {
   const auto it = mFleet.find(aWorker);
-  // While it is registered, the refusal may come from the network.
-  if (it != mFleet.end() && !it->second.mListed) {
+  // While the worker is registered, the refusal may come from the network rather than the worker.
+  if (it != mFleet.end() && !it->second.mRegistered) {
     DropAllRuns(it->second, aNow);
     mDirtyRacks.insert(it->second.mEntry.mRack);
     mFleet.erase(it);
@@ -235,7 +235,7 @@
   const auto runs = aWorker.mRuns;
   for (const auto& it : runs) {
     DropRun(aWorker, it.mRun, RunEnd::Lapsed, "", aNow);
-    ++mCounts.mLapsedRuns;
+    ++mCounts.mLostRuns;
   }
 }
 
@@ -248,7 +248,7 @@
 }
 
 void
-Scheduler::KeepCheckpoint(Job& aJob, const TaskRef& aTask, const std::string& aCheckpoint)
+Scheduler::UpdateCheckpoint(Job& aJob, const TaskRef& aTask, const std::string& aCheckpoint)
 {
   auto* task = aJob.Find(aTask);
   if (!task || aCheckpoint.empty()) {
@@ -258,8 +258,9 @@
     task->mCheckpoint = aCheckpoint;
     return;
   }
-  // A checkpoint of any member is good for the whole gang; they sort by progress.
-  auto& tasks = aJob.At(aTask.mOccurrence).mSteps[aTask.mStep].mTasks;
+  // A checkpoint of any member serves the whole gang. Checkpoints sort by progress, so the greatest
+  // one is kept.
+  auto& tasks = aJob.FindOrCreateOccurrence(aTask.mOccurrence).mSteps[aTask.mStep].mTasks;
   if (aCheckpoint > tasks.front().mCheckpoint) {
     tasks.front().mCheckpoint = aCheckpoint;
   }
@@ -270,22 +271,23 @@
                     const std::string& aCheckpoint, const Now& aNow)
 {
   auto* job = FindMutable(aRun.mTask.mJob);
-  auto* task = job ? job->FindStarted(aRun.mTask) : nullptr;
+  auto* task = job ? job->FindOrOpen(aRun.mTask) : nullptr;
   if (!task || task->mPhase == TaskPhase::Done) {
     return;
   }
   const bool isCurrent =
     task->mPhase != TaskPhase::Waiting && task->mWorker == aWorker && task->mRun == aRun.mRun;
-  const bool isNews = aRun.mRun > task->mEndedRun;
-  // The ends of several runs may be listed by several workers in any order.
+  const bool isNewEnd = aRun.mRun > task->mEndedRun;
+  // Workers may report the ends of a task's runs in any order, so these count even if a later run
+  // has ended.
   const bool alwaysCounts = aEnd == RunEnd::Done || aEnd == RunEnd::Failed;
-  if (!isCurrent && !isNews && !alwaysCounts) {
+  if (!isCurrent && !isNewEnd && !alwaysCounts) {
     return;
   }
-  Touch(aRun.mTask.mJob);
+  MarkDirty(aRun.mTask.mJob);
   task->mRun = std::max(task->mRun, aRun.mRun);
   task->mEndedRun = std::max(task->mEndedRun, aRun.mRun);
-  KeepCheckpoint(*job, aRun.mTask, aCheckpoint);
+  UpdateCheckpoint(*job, aRun.mTask, aCheckpoint);
   if (isCurrent) {
     task->mPhase = TaskPhase::Waiting;
     task->mWorker = WorkerId();
@@ -309,9 +311,11 @@
   const auto& spec = aJob.Spec(aRun.mTask.mStep);
   auto* task = aJob.Find(aRun.mTask);
   auto& counted =
-    spec.mGang ? aJob.At(aRun.mTask.mOccurrence).mSteps[aRun.mTask.mStep].mTasks.front() : *task;
-  if (task->mAvoid.size() < kMaxAvoided) {
-    task->mAvoid.push_back(aWorker);
+    spec.mGang
+      ? aJob.FindOrCreateOccurrence(aRun.mTask.mOccurrence).mSteps[aRun.mTask.mStep].mTasks.front()
+      : *task;
+  if (task->mExcludedWorkers.size() < kMaxExcludedWorkers) {
+    task->mExcludedWorkers.push_back(aWorker);
   }
   auto& failed = counted.mFailedRuns;
   if (spec.mLongRunning || std::find(failed.begin(), failed.end(), aRun.mRun) != failed.end()) {
@@ -332,8 +336,8 @@
 }
 
 void
-Scheduler::NoteWorkerResult(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd,
-                            const Now& aNow)
+Scheduler::UpdateWorkerFailures(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd,
+                                const Now& aNow)
 {
   const auto it = mFleet.find(aWorker);
   if (it == mFleet.end()) {
@@ -341,10 +345,10 @@
   }
   auto& worker = it->second;
   if (aEnd == RunEnd::Done) {
-    worker.mFailures = 0;
-  } else if (aEnd == RunEnd::Failed && worker.mFailedJob != aRun.mTask.mJob) {
-    worker.mFailedJob = aRun.mTask.mJob;
-    if (++worker.mFailures >= mSettings.mFailingAfter) {
+    worker.mConsecutiveFailures = 0;
+  } else if (aEnd == RunEnd::Failed && worker.mLastFailedJob != aRun.mTask.mJob) {
+    worker.mLastFailedJob = aRun.mTask.mJob;
+    if (++worker.mConsecutiveFailures >= mSettings.mFailingThreshold) {
       worker.mAvoidUntil = std::max(worker.mAvoidUntil, aNow.mSteady + mSettings.mFailingPause);
       LogEvent("worker_avoided").With("worker", aWorker).With("reason", "failing_runs");
     }
@@ -355,30 +359,30 @@
 Scheduler::IsGangBroken(const Job& aJob, const PlacedRun& aRun, const Now& aNow) const
 {
   const auto& ref = aRun.mRun.mTask;
-  const auto it = aJob.Open().find(ref.mOccurrence);
-  if (!aJob.Spec(ref.mStep).mGang || it == aJob.Open().end()) {
+  const auto it = aJob.OpenOccurrences().find(ref.mOccurrence);
+  if (!aJob.Spec(ref.mStep).mGang || it == aJob.OpenOccurrences().end()) {
     return false;
   }
-  if (aJob.mInherited && !mIsSettled) {
+  if (aJob.mInherited && !mIsTakeoverSettled) {
     return false;
   }
   const auto& tasks = it->second.mSteps[ref.mStep].mTasks;
   return std::any_of(tasks.begin(), tasks.end(), [this, &aRun, &aNow](const auto& aTask) {
-    const bool isPresent = aTask.mPhase == TaskPhase::Active || MayRunUnseen(aTask, aNow);
+    const bool isPresent = aTask.mPhase == TaskPhase::Active || MayRunUnreported(aTask, aNow);
     return !isPresent || aTask.mRun != aRun.mRun.mRun;
   });
 }
 
 bool
-Scheduler::MayRunUnseen(const Task& aTask, const Now& aNow) const
+Scheduler::MayRunUnreported(const Task& aTask, const Now& aNow) const
 {
   if (aTask.mPhase != TaskPhase::Waiting || aTask.mWorker.IsEmpty()) {
     return false;
   }
   const auto it = mFleet.find(aTask.mWorker);
   const bool isSilent =
-    it != mFleet.end() && !it->second.mConfirmed && it->second.mHeldUntil >= aNow.mSteady;
-  return isSilent || mAwaited.contains(aTask.mWorker);
+    it != mFleet.end() && !it->second.mConfirmed && it->second.mLeaseExpiry >= aNow.mSteady;
+  return isSilent || mAwaitedWorkers.contains(aTask.mWorker);
 }
 
 bool
@@ -397,7 +401,7 @@
 Scheduler::BeginStop(Worker& aWorker, PlacedRun& aRun)
 {
   aRun.mPhase = RunPhase::Stopping;
-  aRun.mOrdered = TimePoint();
+  aRun.mLastOrderSent = TimePoint();
   auto* job = FindMutable(aRun.mRun.mTask.mJob);
   auto* task = job ? job->Find(aRun.mRun.mTask) : nullptr;
   if (task && task->mPhase == TaskPhase::Active && task->mWorker == aWorker.mEntry.mId &&
@@ -424,10 +428,10 @@
     if (worker.mEntry.mRack != aRack) {
       continue;
     }
-    if (worker.BelongsInRecord()) {
+    if (worker.BelongsInRackRecord()) {
       write.mWorkers.push_back({ id, worker.mEntry.mAddress });
     } else {
-      // All that was started there is in the progress that is written before.
+      // The progress that is written before the rack record names all runs that were started there.
       worker.mRecorded = false;
     }
   }
@@ -473,7 +477,8 @@
   for (const auto& it : aBatch.mSeen) {
     const auto worker = mFleet.find(it.mWorker);
     if (worker != mFleet.end() && worker->second.mEntry.mBirth == it.mBirth) {
-      // A worker that was replaced meanwhile counts its ends anew.
+      // OnWorkerReplaced() may have reset mLastProcessedEnd since the batch was taken, and the new
+      // incarnation numbers its ends from the start. Its ends must not count as stored.
       const auto number = std::min(it.mNumber, worker->second.mSeen);
       worker->second.mStored = std::max(worker->second.mStored, number);
     }
--- a/src/scheduler/Scheduler.h
+++ b/src/scheduler/Scheduler.h
@@ -15,7 +15,7 @@
 
 namespace lovagerock::scheduler {
 
-// The time of one call, on both clocks.
+// The current time, on the steady clock and the wall clock.
 struct Now
 {
   TimePoint mSteady;
@@ -23,180 +23,225 @@
   std::int64_t mWallMs = 0;
 };
 
-// An order that decided the placement of work, for the log.
+// Counts of decisions and of failed and lost runs since the scheduler was created.
 struct SchedulerCounts
 {
   std::uint64_t mStarts = 0;
   std::uint64_t mStops = 0;
   std::uint64_t mEvictions = 0;
   std::uint64_t mFailedRuns = 0;
-  std::uint64_t mLapsedRuns = 0;
+  // Runs given up because their worker's lease expired, or the worker was restarted or has gone.
+  std::uint64_t mLostRuns = 0;
 };
 
-// Decides which task runs where, for all jobs and workers of a deployment. Holds no connection and
-// reads no clock: events go in, orders and records to store come out.
+// Decides which task runs where, for all jobs and workers of a deployment. Does no I/O and reads no
+// clock: takes events and the current time, and returns orders for workers and records to store.
 //
-// A scheduler that takes over knows the accepted jobs, their stored progress and the workers on
-// which work may have been started without stored progress. It starts no inherited work until each
-// of these workers and of the registered ones has either answered it, and so obeys no earlier
-// scheduler, or can hold nothing any more.
+// A scheduler that takes over loads the accepted jobs, their stored progress and the rack records.
+// These name the workers on which an earlier scheduler may have started runs without storing
+// progress. It starts no task of an inherited job until each recorded or registered worker has
+// answered it, and so rejects the earlier scheduler's orders, or until all leases that the earlier
+// scheduler may have renewed have expired.
 class Scheduler
 {
 public:
   Scheduler(const SchedulerSettings& aSettings, TimePoint aTakeover);
 
-  // The queues by name; jobs of a removed queue keep their last policy.
+  // Sets the policies of the queues, by name. Jobs of a removed queue keep their last policy.
   void SetQueues(std::map<std::string, QueuePolicy> aQueues);
-  // The accelerators that belong to each account for its jobs of priority 0.
+  // Sets the number of accelerators that each account is guaranteed for its jobs of priority 0.
   void SetGuarantees(std::map<AccountId, Accelerators> aGuarantees);
 
-  // Adds a job; its progress is empty if it is new. Returns false if the record is malformed.
+  // Adds a job with its stored progress, which is empty if there is none. Does nothing if the job
+  // is known. Returns false if the progress is malformed.
   bool
   AddJob(const AcceptedJob& aJob, const std::string& aProgress, bool aInherited, const Now& aNow);
   void CancelJob(const JobId& aJob, const Now& aNow);
   const Job* FindJob(const JobId& aJob) const;
   std::size_t JobCount() const { return mJobs.size(); }
-  // The accepted jobs of a queue of which no task has started.
+  // Returns the number of jobs of a queue that aren't over and of which no task has started.
   int PendingJobs(const std::string& aQueue) const;
-  // Jobs that ended longer ago than they are kept.
+  // Returns the jobs whose end is stored and longer ago than mFinishedRetention.
   std::vector<JobId> ExpiredJobs(const Now& aNow) const;
-  // Forgets jobs whose records are deleted.
+  // Removes jobs whose records were deleted from the store.
   void Forget(const std::vector<JobId>& aJobs);
 
-  // Adds the workers of a rack that an earlier scheduler recorded.
+  // Adds the workers that an earlier scheduler's rack record names.
   void AddRecordedWorkers(const RackId& aRack, const std::vector<WorkerContact>& aWorkers);
   void OnWorkerEntry(const WorkerEntry& aEntry, const Now& aNow);
+  // The worker's registry entry was removed.
   void OnWorkerUnlisted(const WorkerId& aWorker);
-  // Told before each order or renewal is sent, since it may prolong the worker's lease.
+  // Must be called before each start order or lease renewal is sent, since the worker may extend
+  // its lease even if no answer arrives.
   void OnLeaseSent(const WorkerId& aWorker, const Now& aNow);
   void OnHoldReport(const WorkerId& aWorker, const HoldReport& aReport, const Now& aNow);
-  // Another life of the worker answered: nothing of the earlier one runs any more.
+  // Another incarnation of the worker answered, so the runs of the earlier one have ended.
   void OnWorkerReplaced(const WorkerId& aWorker, const Now& aNow);
-  // The worker's process doesn't listen.
+  // The worker's address refused the connection, so its process isn't listening.
   void OnWorkerRefused(const WorkerId& aWorker, const Now& aNow);
   void OnStartOutcome(const WorkerId& aWorker, const RunRef& aRun, OrderOutcome aOutcome,
                       WorkerClock aClock, const Now& aNow);
   void OnStopOutcome(const WorkerId& aWorker, const RunRef& aRun, OrderOutcome aOutcome,
                      WorkerClock aClock, const Now& aNow);
 
-  // Decides what to start and stop.
+  // Decides which runs to start and stop, and returns the orders to send.
   Orders Plan(const Now& aNow);
 
-  // The progress that changed since the last call.
+  // Returns what changed since the last call and has to be stored.
   ProgressBatch TakeProgress();
-  // The batch is stored.
+  // The batch was written to the store.
   void OnStored(const ProgressBatch& aBatch);
-  // The batch wasn't stored and has to be taken again.
+  // Writing the batch failed: the next TakeProgress() returns its contents again.
   void OnNotStored(const ProgressBatch& aBatch);
+  // Whether TakeProgress() would return anything new.
   bool HasProgress() const { return !mDirty.empty() || mHasUnstoredEnds || !mDirtyRacks.empty(); }
-  // The progress that isn't known to be stored, by job.
+  // Returns the progress of all jobs whose current state isn't known to be stored.
   std::vector<ProgressWrite> UnstoredProgress() const;
-  // The job's progress has to be stored, because it came from elsewhere than the store.
-  void MarkUnstored(const JobId& aJob) { Touch(aJob); }
-  // Whether the job's present state is stored.
+  // Marks a job's progress to be stored, because it was received from the former scheduler instead
+  // of the store.
+  void MarkUnstored(const JobId& aJob) { MarkDirty(aJob); }
+  // Whether the job's current state is stored.
   bool IsStored(const JobId& aJob) const;
 
   const Fleet& Workers() const { return mFleet; }
   const SchedulerCounts& Counts() const { return mCounts; }
-  // The former scheduler has ended, and the progress names all runs that may be at work.
+  // The former scheduler has ended, and the loaded progress names all runs that it may have
+  // started. From then on only the tasks with such a run wait for its worker, or for the end of its
+  // lease.
   void OnHandedOver(const Now& aNow);
-  // Whether inherited work may be started.
-  bool IsSettled() const { return mIsSettled; }
+  // Whether tasks of inherited jobs may be started.
+  bool IsSettled() const { return mIsTakeoverSettled; }
 
 private:
-  // Work that is due: all waiting tasks of one step of one occurrence.
+  // The tasks of one step of one occurrence that are ready and wait for a worker.
   struct DueStep
   {
     Job* mJob = nullptr;
     int mOccurrence = 0;
     int mStep = 0;
+    // The indices of the tasks in the step.
     std::vector<int> mTasks;
+    // Whether the job is within its account's guarantee.
     bool mIsEntitled = false;
-    // Order of the plan; lower comes first.
+    // The PlanClass of the job.
     int mClass = 0;
     TimePoint mObjective;
   };
-  // Room that is being made for a step.
+  // Resources that are kept for a step while the runs that occupy them are being stopped.
   struct Reservation
   {
+    // One entry per task of the step.
     std::vector<WorkerId> mWorkers;
+    // The demand of one task.
     Capacity mDemand;
     TimePoint mUntil;
   };
+  // Job, occurrence and step.
   using StepKey = std::tuple<JobId, int, int>;
 
   Job* FindMutable(const JobId& aJob);
-  void Touch(const JobId& aJob);
-  // Forgets a run that holds nothing any more, and lets its task wait again.
+  // Marks the job's progress to be stored.
+  void MarkDirty(const JobId& aJob);
+  // Removes a run that no longer occupies resources from its worker and applies its end to its
+  // task.
   void DropRun(Worker& aWorker, const RunRef& aRun, RunEnd aEnd, const std::string& aCheckpoint,
                const Now& aNow);
+  // Applies the end of a run to its task and job. Does nothing if the end was processed before.
   void ApplyEnd(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd,
                 const std::string& aCheckpoint, const Now& aNow);
+  // Counts a failed run as an attempt, and fails the job after the last one.
   void ApplyFailure(Job& aJob, const RunRef& aRun, const WorkerId& aWorker, const Now& aNow);
-  void NoteWorkerResult(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd, const Now& aNow);
-  void KeepCheckpoint(Job& aJob, const TaskRef& aTask, const std::string& aCheckpoint);
-  // How long a worker may run on after a renewal, on our clock.
-  Duration LongestHold() const;
+  // Counts a worker's failed runs in a row, and pauses new runs there if there are too many.
+  void
+  UpdateWorkerFailures(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd, const Now& aNow);
+  void UpdateCheckpoint(Job& aJob, const TaskRef& aTask, const std::string& aCheckpoint);
+  // The longest that a lease may last after a renewal, on this process's clock.
+  Duration MaxLeaseDuration() const;
   void DropAllRuns(Worker& aWorker, const Now& aNow);
+  // Updates runs and tasks from the worker's report of runs in progress.
   void ReadRunning(Worker& aWorker, const HoldReport& aReport, const Now& aNow);
+  // Removes runs that the worker doesn't report any more.
   void CheckMissing(Worker& aWorker, const HoldReport& aReport, const Now& aNow);
-  // Takes over a run that an earlier scheduler started.
+  // Adds a reported run that this scheduler didn't know, which an earlier one has started.
   void AdoptRun(Worker& aWorker, const RunningRun& aRun, WorkerClock aClock, const Now& aNow);
+  // Whether the run is still the current one of its task and should go on.
   bool IsWanted(const Worker& aWorker, const PlacedRun& aRun, const Now& aNow) const;
+  // Whether a member of the run's gang has no run in progress with the same number.
   bool IsGangBroken(const Job& aJob, const PlacedRun& aRun, const Now& aNow) const;
-  // Whether the task of an inherited job may run on a worker that has not answered yet.
-  bool MayRunUnseen(const Task& aTask, const Now& aNow) const;
+  // Whether a waiting task may have a run on the worker that stored progress names, because that
+  // worker hasn't answered this scheduler yet.
+  bool MayRunUnreported(const Task& aTask, const Now& aNow) const;
+  // Returns the record of a rack to store.
   RackWrite TakeRack(const RackId& aRack);
 
+  // Removes the runs of workers whose lease has expired, and those workers that aren't registered.
   void ExpireLeases(const Now& aNow);
-  void UpdateSettled(const Now& aNow);
-  void Settle();
+  // Allows the start of inherited work once no earlier scheduler can still be obeyed.
+  void UpdateTakeoverSettled(const Now& aNow);
+  void SettleTakeover();
   void StopUnwanted(const Now& aNow);
-  void LeaveDrainingWorkers(const Now& aNow);
+  // Stops the runs on draining workers that aren't expected to end before the worker leaves.
+  void EvacuateDrainingWorkers(const Now& aNow);
   void BeginStop(Worker& aWorker, PlacedRun& aRun);
   void StopRun(const WorkerId& aWorker, const RunRef& aRun);
-  void SendAgain(const Now& aNow, Orders& aOrders);
+  // Adds due stop orders, and start orders that had no answer, to the plan's orders.
+  void AddStopsAndRetries(const Now& aNow, Orders& aOrders);
+  // Returns the steps that wait for workers, in the order in which they are placed.
   std::vector<DueStep> DueSteps(const Now& aNow);
   void AddDue(Job& aJob, bool aIsEntitled, const Now& aNow, std::vector<DueStep>& aDue) const;
+  // Returns the jobs of priority 0 that fit into their account's guarantee, oldest first.
   std::set<JobId> EntitledJobs() const;
   PlacementRequest RequestFor(const DueStep& aDue) const;
   void PlaceDue(const DueStep& aDue, Placer& aPlacer, const Now& aNow, Orders& aOrders);
+  // Starts the step on its reserved resources if they are free. Returns whether PlaceDue() is to do
+  // nothing more for the step: it was started, or its reservation still waits for resources.
   bool PlaceReserved(const DueStep& aDue, Placer& aPlacer, const Now& aNow, Orders& aOrders);
-  void PlaceWhole(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer, const Now& aNow,
-                  Orders& aOrders);
+  // Places a gang or a rack-local step.
+  void PlaceTogether(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
+                     const Now& aNow, Orders& aOrders);
+  // Places independent tasks, as many as fit, and evicts runs for the rest.
   void PlaceEach(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer, const Now& aNow,
                  Orders& aOrders);
-  // Keeps smaller work off the workers that will have room for a waiting gang first.
-  void GatherRoom(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
-                  const Now& aNow);
+  // For a gang that has waited for mGatherAfter, keeps other work off a set of workers that can
+  // hold it, so that their resources accumulate until it fits.
+  void GatherCapacity(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
+                      const Now& aNow);
+  // Evicts runs so that the tasks of the request fit, and reserves the resources for the step.
+  // Returns false if the job may not evict others or no set of runs frees enough.
   bool
-  MakeRoom(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer, const Now& aNow);
+  EvictFor(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer, const Now& aNow);
   void StartTasks(const DueStep& aDue, const std::vector<WorkerId>& aWorkers, Placer& aPlacer,
                   const Now& aNow, Orders& aOrders);
+  // Returns the cost of evicting a run for a step: the lost work, weighted by its resources.
+  // Returns nullopt if the run must not be evicted for this step.
   std::optional<double> CostOfStopping(const PlacedRun& aRun, const DueStep& aFor,
                                        const std::set<JobId>& aEntitled, const Now& aNow) const;
   StartOrder MakeStart(const WorkerId& aWorker, const RunRef& aRun) const;
 
   SchedulerSettings mSettings;
-  // Until when a run of an earlier scheduler may go on without a renewal by this one.
+  // When the last lease that an earlier scheduler may have renewed expires.
   TimePoint mInheritedUntil;
-  bool mIsSettled = false;
+  // See IsTakeoverSettled().
+  bool mIsTakeoverSettled = false;
   std::map<std::string, QueuePolicy> mQueues;
   std::map<AccountId, Accelerators> mGuarantees;
   std::unordered_map<JobId, Job> mJobs;
   Fleet mFleet;
   std::map<StepKey, Reservation> mReservations;
+  // The result of EntitledJobs() for the current plan.
   std::set<JobId> mEntitled;
-  // Steps that room is gathered for in this plan.
-  int mGathering = 0;
+  // The number of steps for which the current plan gathers capacity.
+  int mGatheringSteps = 0;
+  // Jobs whose progress has changed since it was last taken to be stored.
   std::set<JobId> mDirty;
-  // Jobs whose progress is being stored.
+  // Jobs whose progress was taken and isn't known to be stored yet.
   std::set<JobId> mStoring;
+  // Whether ends of runs were processed since progress was last taken.
   bool mHasUnstoredEnds = false;
-  // Racks whose recorded workers have changed.
+  // Racks whose stored record may be out of date.
   std::set<RackId> mDirtyRacks;
-  // Workers that hold runs of stored progress, are not recorded and haven't registered.
-  std::set<WorkerId> mAwaited;
+  // Workers that loaded progress names but neither a rack record nor the registry does.
+  std::set<WorkerId> mAwaitedWorkers;
   SchedulerCounts mCounts;
 };
 
--- a/src/scheduler/SchedulerPlan.cpp
+++ b/src/scheduler/SchedulerPlan.cpp
@@ -9,20 +9,26 @@
 
 namespace {
 
-// A job earns nothing after this many times its objective.
-constexpr int kWorthlessAfter = 3;
-// One accelerator is worth as much as this many cores when lost work is compared.
+// A job is worthless if it is expected to take longer than this many times the time from its
+// acceptance to its objective.
+constexpr int kWorthlessFactor = 3;
+// One accelerator counts as this many cores when the cost of evictions is compared.
 constexpr double kCoresPerAccelerator = 8;
-// Work on a run that saves its progress is never lost for longer than this.
-constexpr Duration kSavedWithin{ 500 };
+// A run that saves checkpoints loses at most the work of this time when it is stopped.
+constexpr Duration kMaxCheckpointInterval{ 500 };
 
-// The order in which due work is placed; within one, priority and objective decide.
+// How urgent a job is, by its account's guarantee and its expected end. DueSteps() places Entitled
+// jobs first and Worthless ones last. Between these, the queue's priority comes before the class,
+// and the objective decides last.
 enum PlanClass : int
 {
-  // The account asks for no more than what it is guaranteed.
+  // The job is within the number of accelerators that its account is guaranteed.
   Entitled = 0,
+  // The job is expected to end by its objective.
   InTime = 1,
+  // The job is expected to miss its objective.
   Late = 2,
+  // The job is expected to end so late that it has no value, see kWorthlessFactor.
   Worthless = 3,
 };
 
@@ -33,30 +39,30 @@
 {
   Orders orders;
   ExpireLeases(aNow);
-  UpdateSettled(aNow);
+  UpdateTakeoverSettled(aNow);
   mEntitled = EntitledJobs();
-  mGathering = 0;
+  mGatheringSteps = 0;
   for (auto& [id, job] : mJobs) {
     if (!job.IsOver()) {
-      job.OpenDue(aNow.mWallMs, aNow.mSteady);
+      job.OpenDueOccurrences(aNow.mWallMs, aNow.mSteady);
     }
   }
-  LeaveDrainingWorkers(aNow);
+  EvacuateDrainingWorkers(aNow);
   StopUnwanted(aNow);
   Placer placer(mFleet, aNow.mSteady);
   std::erase_if(mReservations,
                 [&aNow](const auto& aIt) { return aIt.second.mUntil < aNow.mSteady; });
   for (const auto& [key, reservation] : mReservations) {
     for (const auto& worker : reservation.mWorkers) {
-      placer.SetAside(worker, reservation.mDemand);
+      placer.Reserve(worker, reservation.mDemand);
     }
   }
   for (const auto& due : DueSteps(aNow)) {
     PlaceDue(due, placer, aNow, orders);
   }
-  // The rest of the gangs of which a member was stopped to make room.
+  // If a member of a gang was evicted, the rest of the gang has to stop too.
   StopUnwanted(aNow);
-  SendAgain(aNow, orders);
+  AddStopsAndRetries(aNow, orders);
   return orders;
 }
 
@@ -65,14 +71,14 @@
 {
   for (auto it = mFleet.begin(); it != mFleet.end();) {
     auto& worker = it->second;
-    const bool isExpired = worker.mHeldUntil < aNow.mSteady;
+    const bool isExpired = worker.mLeaseExpiry < aNow.mSteady;
     if (isExpired && !worker.mRuns.empty()) {
       LogEvent("worker_lease_expired", LogLevel::Warning)
         .With("worker", it->first)
         .With("runs", worker.mRuns.size());
       DropAllRuns(worker, aNow);
     }
-    if (isExpired && !worker.mListed) {
+    if (isExpired && !worker.mRegistered) {
       mDirtyRacks.insert(worker.mEntry.mRack);
       it = mFleet.erase(it);
     } else {
@@ -82,42 +88,42 @@
 }
 
 void
-Scheduler::UpdateSettled(const Now& aNow)
+Scheduler::UpdateTakeoverSettled(const Now& aNow)
 {
   const bool isOver = aNow.mSteady > mInheritedUntil;
   if (isOver) {
-    mAwaited.clear();
+    mAwaitedWorkers.clear();
   }
-  if (mIsSettled) {
+  if (mIsTakeoverSettled) {
     return;
   }
   const bool allAnswered = std::all_of(mFleet.begin(), mFleet.end(), [](const auto& aIt) {
-    return aIt.second.mConfirmed || !(aIt.second.mListed || aIt.second.mRecorded);
+    return aIt.second.mConfirmed || !(aIt.second.mRegistered || aIt.second.mRecorded);
   });
   if (allAnswered || isOver) {
-    Settle();
+    SettleTakeover();
   }
 }
 
 void
 Scheduler::OnHandedOver(const Now& aNow)
 {
-  mInheritedUntil = std::min(mInheritedUntil, aNow.mSteady + LongestHold());
+  mInheritedUntil = std::min(mInheritedUntil, aNow.mSteady + MaxLeaseDuration());
   for (auto& [id, worker] : mFleet) {
-    worker.mHeldUntil = std::min(worker.mHeldUntil, mInheritedUntil);
+    worker.mLeaseExpiry = std::min(worker.mLeaseExpiry, mInheritedUntil);
   }
-  Settle();
+  SettleTakeover();
 }
 
 void
-Scheduler::Settle()
+Scheduler::SettleTakeover()
 {
-  mIsSettled = true;
+  mIsTakeoverSettled = true;
   LogEvent("takeover_settled").With("workers", mFleet.size()).With("jobs", mJobs.size());
 }
 
 void
-Scheduler::LeaveDrainingWorkers(const Now& aNow)
+Scheduler::EvacuateDrainingWorkers(const Now& aNow)
 {
   for (auto& [id, worker] : mFleet) {
     if (!worker.mEntry.mDraining) {
@@ -125,7 +131,7 @@
     }
     const auto remaining =
       worker.mEntry.mRemaining.count() > 0 ? worker.mEntry.mRemaining : mSettings.mDrain;
-    const auto leaves = worker.mDrainingSince + remaining;
+    const auto leavesAt = worker.mDrainingSince + remaining;
     for (auto& run : worker.mRuns) {
       const auto* job = FindJob(run.mRun.mTask.mJob);
       const auto* task = job ? job->Find(run.mRun.mTask) : nullptr;
@@ -134,7 +140,7 @@
       }
       const auto estimate = job->Spec(run.mRun.mTask.mStep).mEstimate;
       const auto left = estimate * (100 - std::clamp(task->mPercent, 0, 100)) / 100;
-      if (job->Spec(run.mRun.mTask.mStep).mLongRunning || aNow.mSteady + left > leaves) {
+      if (job->Spec(run.mRun.mTask.mStep).mLongRunning || aNow.mSteady + left > leavesAt) {
         BeginStop(worker, run);
       }
     }
@@ -154,29 +160,29 @@
 }
 
 void
-Scheduler::SendAgain(const Now& aNow, Orders& aOrders)
+Scheduler::AddStopsAndRetries(const Now& aNow, Orders& aOrders)
 {
   for (auto& [id, worker] : mFleet) {
     if (!worker.mConfirmed) {
       continue;
     }
     for (auto& run : worker.mRuns) {
-      if (run.mInFlight || run.mStopConfirmed) {
+      if (run.mOrderInFlight || run.mStopConfirmedClock) {
         continue;
       }
       if (run.mPhase == RunPhase::Stopping &&
-          (run.mOrdered == TimePoint() ||
-           aNow.mSteady - run.mOrdered >= mSettings.mStopAgainAfter)) {
+          (run.mLastOrderSent == TimePoint() ||
+           aNow.mSteady - run.mLastOrderSent >= mSettings.mResendStopAfter)) {
         aOrders.mStops.push_back({ id, run.mRun });
         ++mCounts.mStops;
-      } else if (run.mPhase == RunPhase::Ordered && run.mUnanswered > 0 &&
-                 aNow.mSteady - run.mOrdered >= mSettings.mResendAfter) {
+      } else if (run.mPhase == RunPhase::Starting && run.mUnansweredStarts > 0 &&
+                 aNow.mSteady - run.mLastOrderSent >= mSettings.mResendStartAfter) {
         aOrders.mStarts.push_back(MakeStart(id, run.mRun));
       } else {
         continue;
       }
-      run.mOrdered = aNow.mSteady;
-      run.mInFlight = true;
+      run.mLastOrderSent = aNow.mSteady;
+      run.mOrderInFlight = true;
     }
   }
 }
@@ -188,7 +194,7 @@
   const auto* job = FindJob(aRun.mTask.mJob);
   const auto* task = job ? job->Find(aRun.mTask) : nullptr;
   if (task) {
-    const auto& occurrence = job->Open().at(aRun.mTask.mOccurrence);
+    const auto& occurrence = job->OpenOccurrences().at(aRun.mTask.mOccurrence);
     const bool isGang = job->Spec(aRun.mTask.mStep).mGang;
     order.mPayload = job->Accepted().mSpec.mPayload;
     order.mCheckpoint =
@@ -231,17 +237,17 @@
 Scheduler::AddDue(Job& aJob, bool aIsEntitled, const Now& aNow, std::vector<DueStep>& aDue) const
 {
   const auto objective = aJob.Objective();
-  const auto whole = objective - aJob.AcceptedAt();
+  const auto allowedTime = objective - aJob.AcceptedAt();
   const auto end = aNow.mSteady + aJob.RemainingRunTime();
   int planClass = InTime;
   if (aIsEntitled) {
     planClass = Entitled;
-  } else if (end > aJob.AcceptedAt() + whole * kWorthlessAfter) {
+  } else if (end > aJob.AcceptedAt() + allowedTime * kWorthlessFactor) {
     planClass = Worthless;
   } else if (end > objective) {
     planClass = Late;
   }
-  for (auto& [number, occurrence] : aJob.Open()) {
+  for (auto& [number, occurrence] : aJob.OpenOccurrences()) {
     for (std::size_t i = 0; i < occurrence.mSteps.size(); ++i) {
       const auto& step = occurrence.mSteps[i];
       const int index = static_cast<int>(i);
@@ -251,7 +257,7 @@
       DueStep due{ &aJob, number, index, {}, aIsEntitled, planClass, objective };
       for (std::size_t j = 0; j < step.mTasks.size(); ++j) {
         const auto& task = step.mTasks[j];
-        if (task.mPhase == TaskPhase::Waiting && !MayRunUnseen(task, aNow)) {
+        if (task.mPhase == TaskPhase::Waiting && !MayRunUnreported(task, aNow)) {
           due.mTasks.push_back(static_cast<int>(j));
         }
       }
@@ -268,7 +274,7 @@
 {
   std::vector<DueStep> due;
   for (auto& [id, job] : mJobs) {
-    if (!job.IsOver() && (mIsSettled || !job.mInherited)) {
+    if (!job.IsOver() && (mIsTakeoverSettled || !job.mInherited)) {
       AddDue(job, mEntitled.contains(id), aNow, due);
     }
   }
@@ -293,7 +299,7 @@
 Scheduler::RequestFor(const DueStep& aDue) const
 {
   const auto& spec = aDue.mJob->Spec(aDue.mStep);
-  const auto& step = aDue.mJob->Open().at(aDue.mOccurrence).mSteps[aDue.mStep];
+  const auto& step = aDue.mJob->OpenOccurrences().at(aDue.mOccurrence).mSteps[aDue.mStep];
   PlacementRequest request;
   request.mService = aDue.mJob->Policy().mService;
   request.mStep = &spec;
@@ -306,7 +312,8 @@
         request.mRack = it->second.mEntry.mRack;
       }
     }
-    request.mAvoid.insert(request.mAvoid.end(), task.mAvoid.begin(), task.mAvoid.end());
+    request.mExcludedWorkers.insert(request.mExcludedWorkers.end(), task.mExcludedWorkers.begin(),
+                                    task.mExcludedWorkers.end());
   }
   return request;
 }
@@ -318,10 +325,10 @@
     return;
   }
   auto request = RequestFor(aDue);
-  // Work that no worker could take even if all were free waits for other workers.
+  // A step that wouldn't fit even on idle workers isn't failed but waits for other workers.
   const auto& spec = *request.mStep;
   if (spec.mGang || spec.mRackLocal) {
-    PlaceWhole(aDue, request, aPlacer, aNow, aOrders);
+    PlaceTogether(aDue, request, aPlacer, aNow, aOrders);
   } else {
     PlaceEach(aDue, request, aPlacer, aNow, aOrders);
   }
@@ -337,7 +344,7 @@
   }
   const auto reservation = it->second;
   for (const auto& worker : reservation.mWorkers) {
-    aPlacer.GiveBack(worker, reservation.mDemand);
+    aPlacer.Release(worker, reservation.mDemand);
   }
   auto request = RequestFor(aDue);
   std::optional<std::vector<WorkerId>> workers;
@@ -350,19 +357,20 @@
     return true;
   }
   for (const auto& worker : reservation.mWorkers) {
-    aPlacer.SetAside(worker, reservation.mDemand);
+    aPlacer.Reserve(worker, reservation.mDemand);
   }
   return reservation.mWorkers.size() == aDue.mTasks.size();
 }
 
 void
-Scheduler::PlaceWhole(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
-                      const Now& aNow, Orders& aOrders)
+Scheduler::PlaceTogether(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
+                         const Now& aNow, Orders& aOrders)
 {
-  // Tasks that can't share a rack even if it were empty run in several.
+  // If the tasks wouldn't fit into any rack even with all its resources free, they are spread over
+  // several racks instead of waiting forever.
   auto relaxed = *aRequest.mStep;
   const bool isSplit =
-    relaxed.mRackLocal && aRequest.mRack.IsEmpty() && !aPlacer.FitsEmpty(aRequest);
+    relaxed.mRackLocal && aRequest.mRack.IsEmpty() && !aPlacer.FitsOnIdleWorkers(aRequest);
   if (isSplit) {
     relaxed.mRackLocal = false;
     aRequest.mStep = &relaxed;
@@ -371,10 +379,10 @@
     StartTasks(aDue, *workers, aPlacer, aNow, aOrders);
     return;
   }
-  if (MakeRoom(aDue, aRequest, aPlacer, aNow)) {
+  if (EvictFor(aDue, aRequest, aPlacer, aNow)) {
     return;
   }
-  GatherRoom(aDue, aRequest, aPlacer, aNow);
+  GatherCapacity(aDue, aRequest, aPlacer, aNow);
   if (!relaxed.mGang) {
     PlaceEach(aDue, aRequest, aPlacer, aNow, aOrders);
   }
@@ -397,7 +405,7 @@
   for (const auto& it : workers) {
     ++aRequest.mPresent[it];
   }
-  MakeRoom(rest, aRequest, aPlacer, aNow);
+  EvictFor(rest, aRequest, aPlacer, aNow);
 }
 
 std::optional<double>
@@ -409,36 +417,36 @@
     return std::nullopt;
   }
   const int priority = victim->Policy().mPriority;
-  const int own = aFor.mJob->Policy().mPriority;
-  const bool isOverShare =
-    priority == 0 && own == 0 && aFor.mIsEntitled && !aEntitled.contains(victim->Accepted().mId);
-  if (priority <= own && !isOverShare) {
+  const int ownPriority = aFor.mJob->Policy().mPriority;
+  const bool isAboveGuarantee = priority == 0 && ownPriority == 0 && aFor.mIsEntitled &&
+                                !aEntitled.contains(victim->Accepted().mId);
+  if (priority <= ownPriority && !isAboveGuarantee) {
     return std::nullopt;
   }
   const auto& spec = victim->Spec(aRun.mRun.mTask.mStep);
   const auto elapsed = std::chrono::duration_cast<Duration>(aNow.mSteady - aRun.mStarted);
-  const auto lost = aRun.mCheckpointing ? std::min(elapsed, kSavedWithin) : elapsed;
-  const double width =
+  const auto lost = aRun.mCheckpointing ? std::min(elapsed, kMaxCheckpointInterval) : elapsed;
+  const double cores =
     static_cast<double>(spec.mDemand.mCpu.Value()) / 1000 +
     kCoresPerAccelerator * static_cast<double>(spec.mDemand.mAccelerators.Value());
   const double members = spec.mGang ? spec.mCount : 1;
-  return width * members * (static_cast<double>(lost.count()) + 100);
+  return cores * members * (static_cast<double>(lost.count()) + 100);
 }
 
 void
-Scheduler::GatherRoom(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
-                      const Now& aNow)
+Scheduler::GatherCapacity(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
+                          const Now& aNow)
 {
-  const auto ready = aDue.mJob->Open().at(aDue.mOccurrence).mReady[aDue.mStep];
+  const auto ready = aDue.mJob->OpenOccurrences().at(aDue.mOccurrence).mReadySince[aDue.mStep];
   const bool isDue = aNow.mSteady - ready >= mSettings.mGatherAfter;
-  if (aRequest.mStep->mGang && isDue && mGathering < mSettings.mMaxGathering) {
-    ++mGathering;
+  if (aRequest.mStep->mGang && isDue && mGatheringSteps < mSettings.mMaxGatheringSteps) {
+    ++mGatheringSteps;
     aPlacer.Gather(aRequest);
   }
 }
 
 bool
-Scheduler::MakeRoom(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
+Scheduler::EvictFor(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
                     const Now& aNow)
 {
   if (aDue.mJob->Policy().mPriority != 0 || aDue.mClass == Worthless) {
@@ -459,11 +467,11 @@
     ++mCounts.mEvictions;
   }
   for (const auto& worker : plan->mWorkers) {
-    aPlacer.SetAside(worker, aRequest.mStep->mDemand);
+    aPlacer.Reserve(worker, aRequest.mStep->mDemand);
   }
   const StepKey key{ aDue.mJob->Accepted().mId, aDue.mOccurrence, aDue.mStep };
   mReservations[key] = { plan->mWorkers, aRequest.mStep->mDemand,
-                         aNow.mSteady + mSettings.mReservation };
+                         aNow.mSteady + mSettings.mReservationDuration };
   return true;
 }
 
@@ -473,7 +481,7 @@
 {
   const auto& job = *aDue.mJob;
   const auto& spec = job.Spec(aDue.mStep);
-  auto& step = aDue.mJob->At(aDue.mOccurrence).mSteps[aDue.mStep];
+  auto& step = aDue.mJob->FindOrCreateOccurrence(aDue.mOccurrence).mSteps[aDue.mStep];
   int gangRun = 0;
   for (const auto& it : step.mTasks) {
     gangRun = std::max(gangRun, it.mRun);
@@ -490,15 +498,15 @@
                     task.mRun };
     placed.mDemand = spec.mDemand;
     placed.mStarted = aNow.mSteady;
-    placed.mOrdered = aNow.mSteady;
-    placed.mInFlight = true;
+    placed.mLastOrderSent = aNow.mSteady;
+    placed.mOrderInFlight = true;
     placed.mCheckpointing = spec.mCheckpointing;
     mFleet.at(aWorkers[i]).Add(placed);
-    aPlacer.SetAside(aWorkers[i], spec.mDemand);
+    aPlacer.Reserve(aWorkers[i], spec.mDemand);
     aOrders.mStarts.push_back(MakeStart(aWorkers[i], placed.mRun));
     ++mCounts.mStarts;
   }
-  Touch(job.Accepted().mId);
+  MarkDirty(job.Accepted().mId);
   LogEvent("step_started")
     .With("job", job.Accepted().mId)
     .With("occurrence", aDue.mOccurrence)
--- a/src/scheduler/SchedulerReports.cpp
+++ b/src/scheduler/SchedulerReports.cpp
@@ -7,8 +7,9 @@
 
 namespace {
 
-// Lists that lack a run before it counts as gone, since a worker cuts long lists.
-constexpr int kMaxMissed = 3;
+// After this many reports in a row that lack it, a run counts as gone. One report isn't enough,
+// since workers truncate long lists.
+constexpr int kMaxMissedReports = 3;
 
 } // namespace
 
@@ -28,9 +29,10 @@
     OnLeaseSent(aWorker, aNow);
   }
   if (!worker.mConfirmed) {
-    // No earlier scheduler renews its lease from now on.
+    // From now on the worker rejects renewals of earlier schedulers, so its lease lasts no longer
+    // than one renewal from now.
     worker.mConfirmed = true;
-    worker.mHeldUntil = std::min(worker.mHeldUntil, aNow.mSteady + LongestHold());
+    worker.mLeaseExpiry = std::min(worker.mLeaseExpiry, aNow.mSteady + MaxLeaseDuration());
   }
   for (const auto& ended : aReport.mFinished) {
     if (ended.mNumber <= worker.mSeen) {
@@ -38,7 +40,7 @@
     }
     worker.mSeen = ended.mNumber;
     mHasUnstoredEnds = true;
-    NoteWorkerResult(aWorker, ended.mRun, ended.mEnd, aNow);
+    UpdateWorkerFailures(aWorker, ended.mRun, ended.mEnd, aNow);
     DropRun(worker, ended.mRun, ended.mEnd, ended.mCheckpoint, aNow);
   }
   ReadRunning(worker, aReport, aNow);
@@ -54,9 +56,9 @@
       AdoptRun(aWorker, it, aReport.mClock, aNow);
       continue;
     }
-    placed->mMissed = 0;
-    placed->mKnownFrom = std::max(placed->mKnownFrom, aReport.mClock);
-    if (placed->mPhase == RunPhase::Ordered) {
+    placed->mMissedReports = 0;
+    placed->mLastConfirmedClock = std::max(placed->mLastConfirmedClock, aReport.mClock);
+    if (placed->mPhase == RunPhase::Starting) {
       placed->mPhase = RunPhase::Running;
     }
     auto* job = FindMutable(it.mRun.mTask.mJob);
@@ -67,29 +69,30 @@
     task->mPercent = it.mPercent;
     if (!job->mBegun) {
       job->mBegun = true;
-      Touch(it.mRun.mTask.mJob);
+      MarkDirty(it.mRun.mTask.mJob);
     }
-    KeepCheckpoint(*job, it.mRun.mTask, it.mCheckpoint);
+    UpdateCheckpoint(*job, it.mRun.mTask, it.mCheckpoint);
   }
 }
 
 void
 Scheduler::CheckMissing(Worker& aWorker, const HoldReport& aReport, const Now& aNow)
 {
-  std::set<RunRef> listed;
+  std::set<RunRef> reported;
   for (const auto& it : aReport.mRunning) {
-    listed.insert(it.mRun);
+    reported.insert(it.mRun);
   }
   const auto runs = aWorker.mRuns;
   for (const auto& it : runs) {
-    if (listed.contains(it.mRun)) {
+    if (reported.contains(it.mRun)) {
       continue;
     }
-    if (it.mStopConfirmed && aReport.mClock > *it.mStopConfirmed) {
+    if (it.mStopConfirmedClock && aReport.mClock > *it.mStopConfirmedClock) {
       DropRun(aWorker, it.mRun, RunEnd::Stopped, "", aNow);
-    } else if (it.mPhase != RunPhase::Ordered && !it.mInFlight && aReport.mClock > it.mKnownFrom) {
+    } else if (it.mPhase != RunPhase::Starting && !it.mOrderInFlight &&
+               aReport.mClock > it.mLastConfirmedClock) {
       auto* placed = aWorker.Find(it.mRun);
-      if (++placed->mMissed >= kMaxMissed) {
+      if (++placed->mMissedReports >= kMaxMissedReports) {
         LogEvent("run_vanished", LogLevel::Warning)
           .With("worker", aWorker.mEntry.mId)
           .With("job", it.mRun.mTask.mJob)
@@ -107,9 +110,9 @@
   placed.mRun = aRun.mRun;
   placed.mPhase = RunPhase::Running;
   placed.mStarted = aNow.mSteady;
-  placed.mKnownFrom = aClock;
+  placed.mLastConfirmedClock = aClock;
   auto* job = FindMutable(aRun.mRun.mTask.mJob);
-  auto* task = job ? job->FindStarted(aRun.mRun.mTask) : nullptr;
+  auto* task = job ? job->FindOrOpen(aRun.mRun.mTask) : nullptr;
   if (job && aRun.mRun.mTask.mStep >= 0 &&
       aRun.mRun.mTask.mStep < static_cast<int>(job->Accepted().mSpec.mSteps.size())) {
     const auto& spec = job->Spec(aRun.mRun.mTask.mStep);
@@ -124,8 +127,8 @@
     task->mStarted = aNow.mSteady;
     task->mPercent = aRun.mPercent;
     job->mBegun = true;
-    KeepCheckpoint(*job, aRun.mRun.mTask, aRun.mCheckpoint);
-    Touch(aRun.mRun.mTask.mJob);
+    UpdateCheckpoint(*job, aRun.mRun.mTask, aRun.mCheckpoint);
+    MarkDirty(aRun.mRun.mTask.mJob);
   }
   aWorker.Add(placed);
 }
@@ -139,14 +142,15 @@
   if (!placed) {
     return;
   }
-  placed->mInFlight = false;
+  placed->mOrderInFlight = false;
   auto& worker = it->second;
-  // An earlier start of the same run had no answer: it may have been carried out, or may yet be.
-  const bool mayHaveStarted = placed->mUnanswered > 0;
+  // An earlier start order for the run had no answer: it may have been carried out, or may still
+  // be.
+  const bool mayHaveStarted = placed->mUnansweredStarts > 0;
   const auto refuse = [&](Duration aPause) {
     worker.mAvoidUntil = std::max(worker.mAvoidUntil, aNow.mSteady + aPause);
     if (mayHaveStarted) {
-      // A confirmed stop keeps it from being carried out later.
+      // After a confirmed stop, the worker rejects a delayed start order of the same run.
       BeginStop(worker, *placed);
     } else {
       DropRun(worker, aRun, RunEnd::Stopped, "", aNow);
@@ -154,14 +158,14 @@
   };
   switch (aOutcome) {
     case OrderOutcome::Done: {
-      if (placed->mPhase == RunPhase::Ordered) {
+      if (placed->mPhase == RunPhase::Starting) {
         placed->mPhase = RunPhase::Running;
       }
-      placed->mKnownFrom = std::max(placed->mKnownFrom, aClock);
+      placed->mLastConfirmedClock = std::max(placed->mLastConfirmedClock, aClock);
       auto* job = FindMutable(aRun.mTask.mJob);
       if (job && !job->mBegun) {
         job->mBegun = true;
-        Touch(aRun.mTask.mJob);
+        MarkDirty(aRun.mTask.mJob);
       }
       return;
     }
@@ -177,9 +181,9 @@
       break;
     case OrderOutcome::Superseded:
       if (mayHaveStarted) {
-        // It has run and ended there; the worker's next list has its end.
+        // The run was started and has ended; the worker's next report contains its end.
         placed->mPhase = RunPhase::Running;
-        placed->mKnownFrom = std::max(placed->mKnownFrom, aClock);
+        placed->mLastConfirmedClock = std::max(placed->mLastConfirmedClock, aClock);
         return;
       }
       return refuse(Duration(0));
@@ -193,7 +197,8 @@
       break;
   }
   worker.mAvoidUntil = std::max(worker.mAvoidUntil, aNow.mSteady + mSettings.mNoRoomPause);
-  if (++placed->mUnanswered >= mSettings.mMaxUnanswered && placed->mPhase == RunPhase::Ordered) {
+  if (++placed->mUnansweredStarts >= mSettings.mMaxUnansweredStarts &&
+      placed->mPhase == RunPhase::Starting) {
     BeginStop(worker, *placed);
   }
 }
@@ -207,9 +212,9 @@
   if (!placed) {
     return;
   }
-  placed->mInFlight = false;
+  placed->mOrderInFlight = false;
   if (aOutcome == OrderOutcome::Done) {
-    placed->mStopConfirmed = aClock;
+    placed->mStopConfirmedClock = aClock;
   } else if (aOutcome == OrderOutcome::WrongWorker) {
     OnWorkerReplaced(aWorker, aNow);
   }
--- a/src/scheduler/SchedulerSettings.h
+++ b/src/scheduler/SchedulerSettings.h
@@ -4,36 +4,41 @@
 
 namespace lovagerock::scheduler {
 
-// Times that bound what the scheduler does.
+// Durations and limits of the scheduler. Durations are in milliseconds.
 struct SchedulerSettings
 {
-  // How long a worker runs on after a renewal of its lease, on its own clock.
+  // How long a worker's lease lasts after a renewal, on the worker's clock.
   Duration mHold{ 6000 };
-  // How much slower than ours a worker's clock may run, in hundredths.
+  // By how many percent a worker's clock may run slower than this process's clock.
   int mClockDriftPercent = 2;
-  // For how long an earlier scheduler may go on without hearing from the store.
+  // How long a scheduler may keep working without an answer from the store. A scheduler that takes
+  // over assumes that the earlier one may renew worker leases for this long after the takeover.
   Duration mAutonomy{ 7000 };
-  // A start without an answer is sent again after this time.
-  Duration mResendAfter{ 100 };
-  // Starts without an answer before the run is stopped in place of started.
-  int mMaxUnanswered = 3;
-  // A stop without an answer is sent again after this time.
-  Duration mStopAgainAfter{ 500 };
-  // A worker that refused a start, or whose runs fail, gets no new work for this time.
+  // A start order without an answer is sent again after this time.
+  Duration mResendStartAfter{ 100 };
+  // After this many unanswered start orders, the run is stopped instead.
+  int mMaxUnansweredStarts = 3;
+  // A stop order without an answer is sent again after this time.
+  Duration mResendStopAfter{ 500 };
+  // How long a worker gets no new runs after it lacked the resources for a start, or after a start
+  // order could not be sent or had no answer.
   Duration mNoRoomPause{ 300 };
+  // The same after it refused a start as unhealthy, or rejected it as invalid.
   Duration mUnhealthyPause{ 2000 };
+  // The same after mFailingThreshold failed runs in a row.
   Duration mFailingPause{ 4000 };
-  // Failed runs in a row, of several jobs, after which a worker counts as failing.
-  int mFailingAfter = 2;
-  // The least time that a draining worker still serves.
+  // The number of failed runs in a row, of several jobs, after which a worker counts as failing;
+  // see Worker::mConsecutiveFailures.
+  int mFailingThreshold = 2;
+  // How long a draining worker stays at least if it doesn't report its remaining time.
   Duration mDrain{ 2000 };
-  // Room is gathered for tasks that must start together once they have waited for this time, and
-  // for this many such steps at once.
+  // Once a gang has waited this long, the scheduler keeps resources free for it as they become
+  // available (see Placer::Gather), for at most mMaxGatheringSteps gangs at once.
   Duration mGatherAfter{ 1000 };
-  int mMaxGathering = 2;
-  // For how long resources stay reserved for work whose room is being made.
-  Duration mReservation{ 1500 };
-  // A job's data is kept this long after its end.
+  int mMaxGatheringSteps = 2;
+  // How long resources stay reserved for a step for which other runs are being evicted.
+  Duration mReservationDuration{ 1500 };
+  // How long the records of a job are kept after its end.
   Duration mKeepFinished{ 180000 };
 };
 
--- a/src/scheduler/TaskRef.h
+++ b/src/scheduler/TaskRef.h
@@ -6,7 +6,7 @@
 
 namespace lovagerock::scheduler {
 
-// Names one task: a step of an occurrence of a job, and the task's number in the step.
+// Identifies a task by its job, the occurrence of the job, the step, and the index in the step.
 struct TaskRef
 {
   JobId mJob;
@@ -14,11 +14,11 @@
   int mStep = 0;
   int mIndex = 0;
 
-  // clang-tidy 14 takes the zero of a rewritten comparison for a null pointer.
+  // clang-tidy 14 mistakes the literal 0 of a rewritten comparison for a null pointer.
   auto operator<=>(const TaskRef&) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-// One run of a task. Run numbers of a task start at 1 and rise.
+// Identifies one run of a task. The run numbers of a task start at 1 and increase.
 struct RunRef
 {
   TaskRef mTask;
--- a/src/scheduler/WorkerReport.h
+++ b/src/scheduler/WorkerReport.h
@@ -12,12 +12,13 @@
 
 namespace lovagerock::scheduler {
 
-// Identifies one life of a worker; differs after each restart. 0 if the worker doesn't tell.
+// Identifies one incarnation of a worker: differs after each restart, and of two values the higher
+// one is taken as the later incarnation. 0 if the worker doesn't report it.
 using WorkerBirth = StrongCount<struct WorkerBirthTag>;
 // Milliseconds on a worker's own steady clock.
 using WorkerClock = StrongCount<struct WorkerClockTag>;
 
-// What a worker says of itself where it registers.
+// The registry entry of a worker.
 struct WorkerEntry
 {
   WorkerId mId;
@@ -29,7 +30,7 @@
   Capacity mCapacity;
   WorkerBirth mBirth;
   bool mDraining = false;
-  // The least time until a draining worker leaves; 0 if it doesn't tell.
+  // The minimum time until a draining worker leaves; 0 if it doesn't report it.
   Duration mRemaining{ 0 };
 };
 
@@ -37,18 +38,18 @@
 enum class RunEnd
 {
   Done,
-  // Through its own fault or the worker's; counts as an attempt.
+  // The task or its worker failed; counts as an attempt.
   Failed,
   Stopped,
   // The worker's lease expired.
   Lapsed,
-  // Another member of the gang ended.
+  // The run was ended because another member of the gang ended.
   Broken,
-  // The other members of the gang didn't come in time.
+  // The run was ended because the other members of the gang didn't join in time.
   Alone,
 };
 
-// One entry of a worker's list of what runs.
+// A run that a worker reports as in progress.
 struct RunningRun
 {
   RunRef mRun;
@@ -56,17 +57,17 @@
   int mPercent = 0;
 };
 
-// One entry of a worker's list of ended runs.
+// A run that a worker reports as ended.
 struct FinishedRun
 {
-  // Rises with each end in one life of the worker.
+  // Sequence number of the end; increases with each end in one incarnation of the worker.
   std::int64_t mNumber = 0;
   RunRef mRun;
   RunEnd mEnd = RunEnd::Done;
   std::string mCheckpoint;
 };
 
-// A worker's answer to a renewal of its lease.
+// A worker's answer to a lease renewal.
 struct HoldReport
 {
   WorkerClock mClock;
@@ -75,31 +76,34 @@
   std::vector<FinishedRun> mFinished;
 };
 
-// What became of an order to a worker.
+// The outcome of an order to a worker.
 enum class OrderOutcome
 {
   Done,
   // A scheduler with a higher fencing token has taken over the worker.
   Fenced,
-  // The run's number isn't above that of a run that was stopped or has ended there.
+  // The worker has already stopped or ended a run of the task with this number or a higher one.
   Superseded,
   // The order's deadline had passed on the worker's clock.
   TooLate,
+  // The worker lacks the resources for the run.
   NoRoom,
-  // The worker is unhealthy or overloaded and did nothing.
+  // The worker is unhealthy or overloaded and didn't carry out the order.
   Unhealthy,
+  // The worker rejected the order as malformed or for a reason not listed here.
   Invalid,
-  // Another life of the worker answers at the address.
+  // Another worker, or another incarnation of this one, answers at the address.
   WrongWorker,
-  // No byte of the order was sent.
+  // The order can't have been carried out, because no byte of it was sent.
   NotSent,
-  // The order may have been carried out, or may yet be.
+  // There was no usable answer: the order may have been carried out, or may still be.
   Unknown,
 };
 
-// The name for logs.
+// Returns the name of the outcome as used in logs.
 const char*
 OrderOutcomeName(OrderOutcome aOutcome);
+// Returns the name of the end as used in workers' reports.
 const char*
 RunEndName(RunEnd aEnd);
 
--- a/tests/scheduler/FailureTests.cpp
+++ b/tests/scheduler/FailureTests.cpp
@@ -12,35 +12,36 @@
     const auto orders = f.Plan();
     cr_assert_eq(orders.mStarts.size(), 1);
     cr_assert_eq(orders.mStarts[0].mRun.mRun, i + 1);
-    f.End(orders.mStarts[0].mRun, RunEnd::Failed);
-    f.HoldAll();
+    f.EndRun(orders.mStarts[0].mRun, RunEnd::Failed);
+    f.RenewAllLeases();
   }
   cr_assert(f.Plan().mStarts.empty());
   cr_assert(f.State("j") == JobState::Failed);
 }
 
-Test(Scheduler, tries_a_failed_task_on_another_worker)
+Test(Scheduler, retries_a_failed_task_on_another_worker)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   const auto first = f.Plan();
-  f.End(first.mStarts[0].mRun, RunEnd::Failed);
-  f.HoldAll();
+  f.EndRun(first.mStarts[0].mRun, RunEnd::Failed);
+  f.RenewAllLeases();
   cr_assert_neq(f.Plan().mStarts.at(0).mWorker, first.mStarts[0].mWorker);
 }
 
-Test(Scheduler, starts_a_gang_anew_as_a_whole_when_a_member_failed)
+Test(Scheduler, restarts_the_whole_gang_when_a_member_fails)
 {
   SchedulerFixture f;
   f.AddWorkers(4);
   f.Submit(f.Job("j", { f.Gang(3, 8) }));
   const auto first = f.Plan();
-  f.End(first.mStarts[0].mRun, RunEnd::Failed);
-  f.End(first.mStarts[1].mRun, RunEnd::Broken);
-  f.HoldAll();
-  cr_assert(f.Plan().mStarts.empty(), "a member of the first run was still there");
-  f.HoldAll();
+  f.EndRun(first.mStarts[0].mRun, RunEnd::Failed);
+  f.EndRun(first.mStarts[1].mRun, RunEnd::Broken);
+  f.RenewAllLeases();
+  cr_assert(f.Plan().mStarts.empty(),
+            "the gang was started while a member of its first run was still running");
+  f.RenewAllLeases();
   const auto second = f.Plan();
   cr_assert_eq(second.mStarts.size(), 3);
   for (const auto& it : second.mStarts) {
@@ -58,17 +59,18 @@
   f.Plan();
   f.Submit(f.Job("urgent", { f.Step(1, 8) }, 0));
   f.Plan();
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto urgent = f.Plan();
-  f.End(urgent.mStarts.at(0).mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(urgent.mStarts.at(0).mRun, RunEnd::Done);
+  f.RenewAllLeases();
   const auto again = f.Plan();
   cr_assert_eq(again.mStarts.at(0).mCheckpoint, std::string("saved"));
   cr_assert_eq(again.mStarts.at(0).mRun.mRun, 2);
 }
 
-// Guards against a second run beside one whose start was carried out without an answer.
-Test(Scheduler, sends_an_unanswered_start_again_to_the_same_worker)
+// Guards against two concurrent runs of a task: a worker carries out a start order but its answer
+// is lost, and the scheduler starts the task on another worker.
+Test(Scheduler, resends_an_unanswered_start_to_the_same_worker)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -76,14 +78,15 @@
   const auto first = f.mScheduler->Plan(f.mNow).mStarts.at(0);
   f.mScheduler->OnStartOutcome(first.mWorker, first.mRun, OrderOutcome::Unknown, WorkerClock(),
                                f.mNow);
-  f.Pass(Duration(200));
+  f.AdvanceTime(Duration(200));
   const auto again = f.Plan();
   cr_assert_eq(again.mStarts.size(), 1);
   cr_assert_eq(again.mStarts[0].mWorker, first.mWorker);
   cr_assert_eq(again.mStarts[0].mRun, first.mRun);
 }
 
-// Guards against a second run of a task whose first one ended before its start was answered.
+// Guards against a second run of a task whose first run ended before its start order was answered.
+// The worker then rejects the repeated order as superseded.
 Test(Scheduler, waits_for_the_end_of_a_run_whose_repeated_start_is_superseded)
 {
   SchedulerFixture f;
@@ -95,17 +98,18 @@
                                  WorkerClock(f.mWorkers.at(first.mWorker).mClock), f.mNow);
   };
   outcome(OrderOutcome::Unknown);
-  f.mNow.mSteady += f.mSettings.mResendAfter;
+  f.mNow.mSteady += f.mSettings.mResendStartAfter;
   cr_assert_eq(f.mScheduler->Plan(f.mNow).mStarts.size(), 1);
   outcome(OrderOutcome::Superseded);
   cr_assert(f.mScheduler->Plan(f.mNow).mStarts.empty(), "the task was started a second time");
   f.mWorkers.at(first.mWorker).mRunning.push_back({ first.mRun, "", 0 });
-  f.End(first.mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(first.mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.State("j") == JobState::Completed);
 }
 
-// Guards against an unanswered start that is carried out late, when its task runs elsewhere.
+// Guards against two concurrent runs of a task: an unanswered start order is carried out late, when
+// the task already runs on another worker.
 Test(Scheduler, stops_an_unanswered_run_before_its_task_moves)
 {
   SchedulerFixture f;
@@ -114,36 +118,37 @@
   const auto first = f.mScheduler->Plan(f.mNow).mStarts.at(0);
   f.mScheduler->OnStartOutcome(first.mWorker, first.mRun, OrderOutcome::Unknown, WorkerClock(),
                                f.mNow);
-  f.mNow.mSteady += f.mSettings.mResendAfter;
+  f.mNow.mSteady += f.mSettings.mResendStartAfter;
   cr_assert_eq(f.mScheduler->Plan(f.mNow).mStarts.size(), 1);
   f.mScheduler->OnStartOutcome(first.mWorker, first.mRun, OrderOutcome::NoRoom, WorkerClock(),
                                f.mNow);
   const auto orders = f.Plan();
   cr_assert(orders.mStarts.empty());
   cr_assert_eq(orders.mStops.size(), 1);
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto second = f.Plan();
   cr_assert_eq(second.mStarts.size(), 1);
   cr_assert_eq(second.mStarts[0].mRun.mRun, 2);
 }
 
-Test(Scheduler, waits_for_the_lease_of_a_silent_worker_before_it_starts_its_work_elsewhere)
+Test(Scheduler, restarts_the_tasks_of_a_silent_worker_only_after_its_lease_has_expired)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   const auto first = f.Plan().mStarts.at(0);
   f.mWorkers.at(first.mWorker).mIsReachable = false;
-  f.Pass(f.mSettings.mHold);
-  cr_assert(f.Plan().mStarts.empty(), "the worker's lease may still hold");
-  f.Pass(Duration(500));
+  f.AdvanceTime(f.mSettings.mHold);
+  cr_assert(f.Plan().mStarts.empty(),
+            "the task was restarted although the worker's lease may not have expired");
+  f.AdvanceTime(Duration(500));
   const auto second = f.Plan();
   cr_assert_eq(second.mStarts.size(), 1);
   cr_assert_neq(second.mStarts[0].mWorker, first.mWorker);
   cr_assert_eq(second.mStarts[0].mRun.mRun, 2);
 }
 
-Test(Scheduler, starts_the_work_of_a_restarted_worker_at_once)
+Test(Scheduler, restarts_the_tasks_of_a_restarted_worker_at_once)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -153,13 +158,13 @@
   worker.mRunning.clear();
   worker.mEntry.mBirth = WorkerBirth(200);
   worker.mNumber = 0;
-  f.Hold(first.mWorker);
+  f.RenewLease(first.mWorker);
   const auto second = f.Plan();
   cr_assert_eq(second.mStarts.size(), 1);
   cr_assert_eq(second.mStarts[0].mRun.mRun, 2);
 }
 
-Test(Scheduler, starts_nothing_on_a_draining_worker_and_moves_what_would_not_end)
+Test(Scheduler, starts_nothing_on_a_draining_worker_and_moves_runs_that_would_not_finish)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -172,13 +177,13 @@
   f.mScheduler->OnWorkerEntry(worker.mEntry, f.mNow);
   const auto stop = f.Plan();
   cr_assert_eq(stop.mStops.size(), 1);
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto second = f.Plan();
   cr_assert_eq(second.mStarts.size(), 1);
   cr_assert_neq(second.mStarts[0].mWorker, first.mWorker);
 }
 
-Test(Scheduler, lets_work_end_on_a_draining_worker_that_stays_long_enough)
+Test(Scheduler, lets_runs_finish_on_a_draining_worker_that_stays_long_enough)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -199,24 +204,24 @@
   f.Plan();
   f.mScheduler->CancelJob(JobId("j"), f.mNow);
   cr_assert_eq(f.Plan().mStops.size(), 4);
-  f.HoldAll();
+  f.RenewAllLeases();
   f.Plan();
   cr_assert(f.Running().empty());
   cr_assert(f.State("j") == JobState::Cancelled);
 }
 
-Test(Scheduler, avoids_a_worker_that_fails_the_work_of_several_jobs)
+Test(Scheduler, pauses_a_worker_on_which_runs_of_several_jobs_fail)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
   for (const auto* id : { "a", "b" }) {
     f.Submit(f.Job(id, { f.Step(1, 1) }));
     const auto orders = f.Plan();
-    f.End(orders.mStarts.at(0).mRun, RunEnd::Failed);
-    f.HoldAll();
+    f.EndRun(orders.mStarts.at(0).mRun, RunEnd::Failed);
+    f.RenewAllLeases();
   }
   f.Submit(f.Job("c", { f.Step(1, 1) }));
   cr_assert(f.Plan().mStarts.empty());
-  f.Pass(f.mSettings.mFailingPause + Duration(500));
+  f.AdvanceTime(f.mSettings.mFailingPause + Duration(500));
   cr_assert_geq(f.Plan().mStarts.size(), 1);
 }
--- a/tests/scheduler/PlacementTests.cpp
+++ b/tests/scheduler/PlacementTests.cpp
@@ -16,7 +16,7 @@
   }
 }
 
-// Guards against members that wait for others and hold accelerators meanwhile.
+// Guards against gang members that occupy accelerators while they wait for the other members.
 Test(Scheduler, starts_no_member_of_a_gang_that_does_not_fit)
 {
   SchedulerFixture f;
@@ -41,7 +41,7 @@
   cr_assert_eq(f.Racks(orders).size(), 1);
 }
 
-// Guards against a gang that is larger than a rack and would wait for ever.
+// Guards against a rack-local gang that waits forever because it is larger than any rack.
 Test(Scheduler, spreads_a_rack_local_gang_that_no_rack_can_hold)
 {
   SchedulerFixture f;
@@ -72,15 +72,15 @@
   f.Submit(f.Job("j", { f.Step(2, 1), second }));
   const auto first = f.Plan();
   cr_assert_eq(first.mStarts.size(), 2);
-  f.End(first.mStarts[0].mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(first.mStarts[0].mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.Plan().mStarts.empty());
-  f.End(first.mStarts[1].mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(first.mStarts[1].mRun, RunEnd::Done);
+  f.RenewAllLeases();
   const auto then = f.Plan();
   cr_assert_eq(then.mStarts.size(), 1);
-  f.End(then.mStarts[0].mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(then.mStarts[0].mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.State("j") == JobState::Completed);
 }
 
@@ -115,7 +115,7 @@
   }
 }
 
-Test(Scheduler, stops_less_urgent_work_for_urgent_work)
+Test(Scheduler, evicts_lower_priority_runs_for_urgent_work)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -123,22 +123,22 @@
   cr_assert_eq(f.Plan().mStarts.size(), 16);
   f.Submit(f.Job("urgent", { f.Gang(1, 8) }, 0));
   f.Plan();
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto orders = f.Plan();
   cr_assert_eq(orders.mStarts.size(), 1);
   cr_assert_eq(orders.mStarts[0].mRun.mTask.mJob, JobId("urgent"));
   cr_assert_eq(f.mScheduler->Counts().mEvictions, 8);
 }
 
-// Load: small tasks start beside a large one, then an urgent task needs the room of the large one.
-// Guards against stops of the small ones, which are cheaper and free too little.
-Test(Scheduler, stops_nothing_that_makes_no_difference)
+// A large and two small tasks share a worker, and an urgent task needs the resources of the large
+// one. Guards against also stopping the small tasks, which cost less but free too little.
+Test(Scheduler, evicts_no_run_whose_resources_do_not_help)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
   f.Submit(f.Job("large", { f.Step(1, 6) }, 2));
   f.Plan();
-  f.Pass(Duration(1000));
+  f.AdvanceTime(Duration(1000));
   f.Submit(f.Job("small", { f.Step(2, 1) }, 2));
   cr_assert_eq(f.Plan().mStarts.size(), 2);
   f.Submit(f.Job("urgent", { f.Gang(1, 6) }, 0));
@@ -147,7 +147,7 @@
   cr_assert_eq(stops[0].mRun.mTask.mJob, JobId("large"));
 }
 
-Test(Scheduler, stops_no_work_of_the_same_priority)
+Test(Scheduler, evicts_no_run_of_the_same_priority)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
@@ -157,7 +157,8 @@
   cr_assert(f.Plan().mStops.empty());
 }
 
-// Guards against a guarantee that another account's urgent work holds.
+// Guards against an account that can't use its guaranteed accelerators because urgent work of
+// another account, above that account's own guarantee, occupies them.
 Test(Scheduler, reclaims_guaranteed_accelerators_from_urgent_work_above_its_share)
 {
   SchedulerFixture f;
@@ -169,15 +170,15 @@
   f.Plan();
   f.Submit(f.Job("owner", { f.Gang(1, 4) }, 0));
   f.Plan();
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto orders = f.Plan();
   cr_assert_geq(orders.mStarts.size(), 1);
   cr_assert_eq(orders.mStarts[0].mRun.mTask.mJob, JobId("owner"));
 }
 
-// Load: small tasks come as fast as others end, and a gang needs two whole workers. Guards against
-// small work that takes each piece of room at once, so that the gang never starts.
-Test(Scheduler, gathers_room_for_a_gang_beside_a_stream_of_small_tasks)
+// Small tasks arrive as fast as others end, and a gang needs two whole workers. Guards against
+// starvation of the gang by small tasks that take all resources as soon as they become free.
+Test(Scheduler, gathers_capacity_for_a_gang_despite_a_stream_of_small_tasks)
 {
   SchedulerFixture f;
   f.AddWorkers(4);
@@ -185,20 +186,20 @@
   f.Plan();
   f.Submit(f.Job("gang", { f.Gang(2, 8) }, 1));
   f.Plan();
-  f.Pass(f.mSettings.mGatherAfter);
+  f.AdvanceTime(f.mSettings.mGatherAfter);
   constexpr int kRounds = 32;
   for (int i = 0; i < kRounds && f.State("gang") == JobState::Queued; ++i) {
     f.Submit(f.Job("small" + std::to_string(i), { f.Step(1, 1) }, 2));
-    f.End(f.Running().front(), RunEnd::Done);
-    f.HoldAll();
+    f.EndRun(f.Running().front(), RunEnd::Done);
+    f.RenewAllLeases();
     f.Plan();
-    f.HoldAll();
+    f.RenewAllLeases();
   }
   cr_assert(f.State("gang") == JobState::InProgress);
 }
 
-// Guards against room that is made for one job and taken by another one first.
-Test(Scheduler, keeps_the_room_that_is_made_for_urgent_work)
+// Guards against resources that were freed by evictions for one job and are taken by another one.
+Test(Scheduler, reserves_evicted_resources_for_the_urgent_job)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
@@ -207,9 +208,10 @@
   f.Submit(f.Job("urgent", { f.Gang(1, 8) }, 0));
   const auto stops = f.mScheduler->Plan(f.mNow).mStops;
   cr_assert_eq(stops.size(), 8);
-  f.End(stops[0].mRun, RunEnd::Stopped);
-  f.HoldAll();
-  cr_assert(f.mScheduler->Plan(f.mNow).mStarts.empty(), "a stopped task took the room again");
+  f.EndRun(stops[0].mRun, RunEnd::Stopped);
+  f.RenewAllLeases();
+  cr_assert(f.mScheduler->Plan(f.mNow).mStarts.empty(),
+            "an evicted task was restarted on the resources freed for the urgent job");
 }
 
 Test(Scheduler, opens_each_repetition_when_it_is_due)
@@ -222,16 +224,16 @@
   job.mSpec.mInterval = Duration(2000);
   f.Submit(job);
   cr_assert(f.Plan().mStarts.empty());
-  f.Pass(Duration(1000));
+  f.AdvanceTime(Duration(1000));
   const auto first = f.Plan();
   cr_assert_eq(first.mStarts.size(), 1);
   cr_assert_eq(first.mStarts[0].mRun.mTask.mOccurrence, 0);
-  f.End(first.mStarts[0].mRun, RunEnd::Done);
-  f.Pass(Duration(2000));
+  f.EndRun(first.mStarts[0].mRun, RunEnd::Done);
+  f.AdvanceTime(Duration(2000));
   const auto second = f.Plan();
   cr_assert_eq(second.mStarts.size(), 1);
   cr_assert_eq(second.mStarts[0].mRun.mTask.mOccurrence, 1);
-  f.End(second.mStarts[0].mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(second.mStarts[0].mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.State("j") == JobState::Completed);
 }
--- a/tests/scheduler/SchedulerFixture.h
+++ b/tests/scheduler/SchedulerFixture.h
@@ -14,7 +14,8 @@
 
 namespace lovagerock::scheduler {
 
-// A scheduler with workers whose lists the test keeps: each answers what it was told.
+// A scheduler with fake workers. The fixture keeps what each worker runs and has ended, and answers
+// the scheduler's orders and lease renewals for it.
 class SchedulerFixture
 {
 public:
@@ -23,17 +24,19 @@
     WorkerEntry mEntry;
     std::vector<RunningRun> mRunning;
     std::vector<FinishedRun> mFinished;
+    // Milliseconds on the worker's clock.
     std::int64_t mClock = 1000;
+    // The number of the last ended run, see FinishedRun::mNumber.
     std::int64_t mNumber = 0;
     bool mIsReachable = true;
   };
 
   SchedulerFixture() { Restart(); }
 
-  // A new scheduler takes over; jobs and workers must be told anew.
+  // Replaces the scheduler by a new one that knows no jobs and no workers.
   void Restart() { mScheduler = std::make_unique<Scheduler>(mSettings, mNow.mSteady); }
 
-  // aCount workers of 8 accelerators, 128 cores, in racks of two.
+  // Adds workers with 8 accelerators and 128 cores each, two per rack.
   void AddWorkers(int aCount)
   {
     for (int i = 0; i < aCount; ++i) {
@@ -46,7 +49,7 @@
       worker.mEntry.mBirth = WorkerBirth(100);
       mWorkers[worker.mEntry.mId] = worker;
       mScheduler->OnWorkerEntry(worker.mEntry, mNow);
-      Hold(worker.mEntry.mId);
+      RenewLease(worker.mEntry.mId);
     }
     StoreProgress();
   }
@@ -86,8 +89,8 @@
     cr_assert(mScheduler->AddJob(aJob, "", false, mNow));
   }
 
-  // A new scheduler that knows the jobs, their stored progress, the stored racks and the workers'
-  // entries.
+  // Replaces the scheduler by a new one that loads the jobs, the given progress, the stored rack
+  // records and the workers' registry entries.
   void TakeOver(const std::map<JobId, std::string>& aProgress)
   {
     Restart();
@@ -104,7 +107,8 @@
     }
   }
 
-  // Makes a plan; reachable workers carry it out and answer at once.
+  // Makes a plan and carries out its orders: reachable workers confirm them at once, orders to the
+  // others have an unknown outcome.
   Orders Plan()
   {
     auto orders = mScheduler->Plan(mNow);
@@ -132,13 +136,13 @@
       }
       mScheduler->OnStopOutcome(it.mWorker, it.mRun, OrderOutcome::Done,
                                 WorkerClock(++worker.mClock), mNow);
-      End(it.mRun, RunEnd::Stopped, "saved");
+      EndRun(it.mRun, RunEnd::Stopped, "saved");
     }
     return orders;
   }
 
-  // Ends a run on whichever worker has it.
-  void End(const RunRef& aRun, RunEnd aEnd, const std::string& aCheckpoint = "")
+  // Ends a run on the workers that have it. They report its end with the next lease renewal.
+  void EndRun(const RunRef& aRun, RunEnd aEnd, const std::string& aCheckpoint = "")
   {
     for (auto& [id, worker] : mWorkers) {
       const auto it = std::find_if(worker.mRunning.begin(), worker.mRunning.end(),
@@ -150,7 +154,8 @@
     }
   }
 
-  void Hold(const WorkerId& aWorker)
+  // Renews the worker's lease and passes its report to the scheduler, if the worker is reachable.
+  void RenewLease(const WorkerId& aWorker)
   {
     auto& worker = mWorkers.at(aWorker);
     if (!worker.mIsReachable) {
@@ -163,26 +168,27 @@
       mNow);
   }
 
-  void HoldAll()
+  void RenewAllLeases()
   {
     for (const auto& [id, worker] : mWorkers) {
-      Hold(id);
+      RenewLease(id);
     }
   }
 
-  // Lets time pass and renews the leases of reachable workers meanwhile.
-  void Pass(Duration aTime)
+  // Advances the clocks in steps of at most 500 ms and renews the leases of reachable workers after
+  // each.
+  void AdvanceTime(Duration aTime)
   {
     constexpr Duration kStep{ 500 };
     for (auto left = aTime; left > Duration(0); left -= kStep) {
       const auto step = std::min(left, kStep);
       mNow.mSteady += step;
       mNow.mWallMs += step.count();
-      HoldAll();
+      RenewAllLeases();
     }
   }
 
-  // The stored progress of all jobs that have changed.
+  // Stores the changed progress and rack records. Returns the progress by job.
   std::map<JobId, std::string> StoreProgress()
   {
     const auto batch = mScheduler->TakeProgress();
@@ -202,6 +208,7 @@
     return mScheduler->FindJob(JobId(aJob))->State();
   }
 
+  // The runs in progress on all workers.
   std::vector<RunRef> Running() const
   {
     std::vector<RunRef> runs;
@@ -213,6 +220,7 @@
     return runs;
   }
 
+  // The racks of the workers to which the orders send starts.
   std::set<RackId> Racks(const Orders& aOrders) const
   {
     std::set<RackId> racks;
@@ -227,7 +235,7 @@
   std::unique_ptr<Scheduler> mScheduler;
   std::map<WorkerId, FakeWorker> mWorkers;
   std::vector<AcceptedJob> mJobs;
-  // The stored workers of each rack.
+  // The stored record of each rack.
   std::map<RackId, std::vector<WorkerContact>> mRacks;
 };
 
--- a/tests/scheduler/TakeoverTests.cpp
+++ b/tests/scheduler/TakeoverTests.cpp
@@ -3,26 +3,26 @@
 using namespace lovagerock;
 using namespace lovagerock::scheduler;
 
-// Guards against a second run of a task that an earlier scheduler started on a worker that has not
-// answered yet.
+// Guards against a second run of a task that an earlier scheduler started, without storing
+// progress, on a worker that has not answered the new scheduler yet.
 Test(Takeover, starts_no_inherited_work_before_every_worker_has_answered)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   const auto first = f.Plan().mStarts.at(0);
-  // The first scheduler stored nothing before it ended.
+  // The first scheduler stored no progress before it ended.
   f.TakeOver({});
   for (const auto& [id, worker] : f.mWorkers) {
     if (id != first.mWorker) {
-      f.Hold(id);
+      f.RenewLease(id);
     }
   }
   cr_assert(f.Plan().mStarts.empty());
-  f.Hold(first.mWorker);
+  f.RenewLease(first.mWorker);
   cr_assert(f.Plan().mStarts.empty(), "the run was started a second time");
-  f.End(first.mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(first.mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.State("j") == JobState::Completed);
 }
 
@@ -31,12 +31,12 @@
   SchedulerFixture f;
   f.AddWorkers(2);
   f.TakeOver({});
-  f.Hold(WorkerId("w0"));
+  f.RenewLease(WorkerId("w0"));
   f.Submit(f.Job("new", { f.Step(1, 1) }));
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
 
-Test(Takeover, starts_inherited_work_when_a_silent_worker_can_hold_nothing_any_more)
+Test(Takeover, starts_inherited_work_when_the_lease_of_a_silent_worker_has_expired)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -44,14 +44,15 @@
   const auto first = f.Plan().mStarts.at(0);
   f.mWorkers.at(first.mWorker).mIsReachable = false;
   f.TakeOver({});
-  f.Pass(f.mSettings.mAutonomy + f.mSettings.mHold);
+  f.AdvanceTime(f.mSettings.mAutonomy + f.mSettings.mHold);
   cr_assert(f.Plan().mStarts.empty());
-  f.Pass(Duration(500));
+  f.AdvanceTime(Duration(500));
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
 
-// Guards against a worker that is missing from the list while the store's entries come back.
-Test(Takeover, waits_for_an_unlisted_worker_that_stored_progress_names)
+// Guards against a second run of a task whose worker is missing from the registry for a while, for
+// instance while workers register again after an outage of the store.
+Test(Takeover, waits_for_an_unregistered_worker_that_stored_progress_names)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -61,35 +62,37 @@
   const auto worker = f.mWorkers.at(first.mWorker);
   f.mWorkers.erase(first.mWorker);
   f.TakeOver(progress);
-  f.HoldAll();
+  f.RenewAllLeases();
   cr_assert(f.Plan().mStarts.empty());
   f.mWorkers[first.mWorker] = worker;
   f.mScheduler->OnWorkerEntry(worker.mEntry, f.mNow);
-  f.HoldAll();
+  f.RenewAllLeases();
   cr_assert(f.Plan().mStarts.empty());
-  f.End(first.mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(first.mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.State("j") == JobState::Completed);
 }
 
-// Guards against an attempt that is counted twice because its end was stored and not yet forgotten.
+// Guards against a failed attempt that is counted twice: the stored progress contains it, and the
+// worker still reports the end because it has not been told to forget it.
 Test(Takeover, counts_a_failure_once)
 {
   SchedulerFixture f;
   f.AddWorkers(4);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   const auto first = f.Plan().mStarts.at(0);
-  f.End(first.mRun, RunEnd::Failed);
-  f.HoldAll();
+  f.EndRun(first.mRun, RunEnd::Failed);
+  f.RenewAllLeases();
   f.TakeOver(f.StoreProgress());
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto second = f.Plan();
   cr_assert_eq(second.mStarts.size(), 1);
   cr_assert_eq(second.mStarts[0].mRun.mRun, 2);
 }
 
-// Guards against an attempt that isn't counted because the worker of a later run answered first.
-Test(Takeover, counts_failures_in_whatever_order_workers_list_them)
+// Guards against a failed attempt that isn't counted because the worker of a later run reports
+// first.
+Test(Takeover, counts_failures_in_whatever_order_workers_report_them)
 {
   SchedulerFixture f;
   f.AddWorkers(3);
@@ -98,39 +101,39 @@
   for (int i = 0; i < 2; ++i) {
     const auto start = f.Plan().mStarts.at(0);
     workers.push_back(start.mWorker);
-    f.End(start.mRun, RunEnd::Failed);
+    f.EndRun(start.mRun, RunEnd::Failed);
     if (i == 0) {
-      f.HoldAll();
+      f.RenewAllLeases();
     }
   }
-  // None of it was stored.
+  // No progress was stored.
   f.TakeOver({});
-  f.Hold(workers[1]);
-  f.HoldAll();
+  f.RenewLease(workers[1]);
+  f.RenewAllLeases();
   cr_assert(f.Plan().mStarts.empty());
   cr_assert(f.State("j") == JobState::Failed);
 }
 
-Test(Takeover, does_not_run_again_what_is_done)
+Test(Takeover, does_not_rerun_completed_tasks)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
   f.Submit(f.Job("j", { f.Step(2, 1) }));
   const auto first = f.Plan();
-  f.End(first.mStarts[0].mRun, RunEnd::Done);
-  // The worker still lists the end, and the record doesn't have it.
+  f.EndRun(first.mStarts[0].mRun, RunEnd::Done);
+  // The worker still reports the end, but no progress was stored.
   f.TakeOver({});
-  f.HoldAll();
+  f.RenewAllLeases();
   cr_assert(f.Plan().mStarts.empty());
 }
 
-Test(Takeover, lets_workers_forget_an_end_only_when_it_is_stored)
+Test(Takeover, lets_workers_forget_an_ended_run_only_when_it_is_stored)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
-  f.End(f.Plan().mStarts.at(0).mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(f.Plan().mStarts.at(0).mRun, RunEnd::Done);
+  f.RenewAllLeases();
   const auto& worker = f.mScheduler->Workers().at(WorkerId("w0"));
   cr_assert_eq(worker.mSeen, 1);
   const auto batch = f.mScheduler->TakeProgress();
@@ -141,9 +144,9 @@
   cr_assert_eq(worker.mStored, 1);
 }
 
-// Guards against an end that is lost because this scheduler's clock is behind that of the one that
-// started the run.
-Test(Takeover, takes_the_end_of_an_occurrence_that_is_not_due_by_its_own_clock)
+// Guards against an end of a run that is ignored because this scheduler's clock is behind the clock
+// of the scheduler that started the run.
+Test(Takeover, applies_the_end_of_an_occurrence_that_is_not_due_by_its_own_clock)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
@@ -154,19 +157,20 @@
   const auto first = f.Plan().mStarts.at(0);
   f.mNow.mWallMs -= 500;
   f.TakeOver({});
-  f.End(first.mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(first.mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.State("j") == JobState::Completed);
 }
 
-// Guards against a job that is forgotten while it is still listed, and so run a second time.
+// Guards against a job that the scheduler removes while the store still has its record, so that the
+// job is loaded and run a second time.
 Test(Scheduler, keeps_an_ended_job_until_its_record_is_deleted)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
-  f.End(f.Plan().mStarts.at(0).mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(f.Plan().mStarts.at(0).mRun, RunEnd::Done);
+  f.RenewAllLeases();
   f.StoreProgress();
   cr_assert(f.mScheduler->ExpiredJobs(f.mNow).empty());
   f.mNow.mWallMs += f.mSettings.mKeepFinished.count() + 1;
@@ -177,22 +181,22 @@
   cr_assert_null(f.mScheduler->FindJob(JobId("j")));
 }
 
-// Guards against ends of a restarted worker that it forgets unread, because a batch of its earlier
-// life is stored late.
-Test(Scheduler, lets_a_replaced_worker_forget_nothing_of_its_new_life)
+// Guards against a restarted worker that forgets ended runs which the scheduler hasn't processed: a
+// batch with end numbers of its earlier incarnation is stored after the restart.
+Test(Scheduler, lets_a_restarted_worker_forget_no_ended_run_of_its_new_incarnation)
 {
   SchedulerFixture f;
   f.AddWorkers(1);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
-  f.End(f.Plan().mStarts.at(0).mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(f.Plan().mStarts.at(0).mRun, RunEnd::Done);
+  f.RenewAllLeases();
   const auto batch = f.mScheduler->TakeProgress();
   f.mScheduler->OnWorkerReplaced(WorkerId("w0"), f.mNow);
   f.mScheduler->OnStored(batch);
   cr_assert_eq(f.mScheduler->Workers().at(WorkerId("w0")).mStored, 0);
 }
 
-Test(JobRecord, keeps_a_job_and_its_progress)
+Test(JobRecord, round_trips_a_job_and_its_progress)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -208,18 +212,19 @@
   cr_assert_eq(read->mSpec.mSteps[1].mPreferredRack, RackId("r1"));
   cr_assert_not(ReadAcceptedJob("{}").has_value());
   f.Submit(job);
-  f.End(f.Plan().mStarts.at(1).mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(f.Plan().mStarts.at(1).mRun, RunEnd::Done);
+  f.RenewAllLeases();
   const auto progress = f.StoreProgress().at(JobId("j"));
   Job copy(job, f.mNow.mSteady);
   cr_assert(ReadProgress(progress, copy));
-  cr_assert_eq(copy.Open().at(0).mSteps[0].mDone, 1);
-  cr_assert_eq(copy.Open().at(0).mSteps[0].mTasks[0].mRun, 1);
+  cr_assert_eq(copy.OpenOccurrences().at(0).mSteps[0].mDone, 1);
+  cr_assert_eq(copy.OpenOccurrences().at(0).mSteps[0].mTasks[0].mRun, 1);
   cr_assert_not(ReadProgress("[]", copy));
 }
 
-// Guards against a second run of a task that an earlier scheduler started in an outage of the
-// store, on a worker whose entry expired meanwhile: neither the progress nor the registry tells.
+// Guards against a second run of a task that an earlier scheduler started during an outage of the
+// store, on a worker whose registry entry expired in the outage. Then neither the stored progress
+// nor the registry names the worker, only the rack record.
 Test(Takeover, waits_for_a_recorded_worker_that_is_not_registered)
 {
   SchedulerFixture f;
@@ -229,18 +234,18 @@
   const auto worker = f.mWorkers.at(first.mWorker);
   f.mWorkers.erase(first.mWorker);
   f.TakeOver({});
-  f.HoldAll();
+  f.RenewAllLeases();
   cr_assert(f.Plan().mStarts.empty(), "the run was started a second time");
   f.mWorkers[first.mWorker] = worker;
-  f.Hold(first.mWorker);
+  f.RenewLease(first.mWorker);
   cr_assert(f.Plan().mStarts.empty());
-  f.End(first.mRun, RunEnd::Done);
-  f.HoldAll();
+  f.EndRun(first.mRun, RunEnd::Done);
+  f.RenewAllLeases();
   cr_assert(f.State("j") == JobState::Completed);
 }
 
-// Guards against a worker that left long ago and holds up each takeover.
-Test(Takeover, does_not_wait_for_a_worker_that_left_before)
+// Guards against a takeover that is delayed by a worker which left long before.
+Test(Takeover, does_not_wait_for_a_worker_that_left_before_the_takeover)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -249,11 +254,12 @@
   f.StoreProgress();
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   f.TakeOver({});
-  f.HoldAll();
+  f.RenewAllLeases();
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
 
-// Guards against a start that the next scheduler could learn of from nobody.
+// Guards against a run that the next scheduler could not learn of, because no rack record names its
+// worker.
 Test(Scheduler, starts_nothing_on_a_worker_that_is_not_recorded)
 {
   SchedulerFixture f;
@@ -268,8 +274,8 @@
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
 
-// Guards against one silent worker that holds up the work of all others after a takeover.
-Test(Takeover, keeps_only_the_tasks_of_a_worker_that_left_with_them)
+// Guards against a worker that left with a run and delays the work of all others after a takeover.
+Test(Takeover, delays_only_the_tasks_of_a_worker_that_left)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -280,16 +286,17 @@
   const auto progress = f.StoreProgress();
   f.mWorkers.erase(first.mWorker);
   f.TakeOver(progress);
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto starts = f.Plan().mStarts;
   cr_assert_eq(starts.size(), 1);
   cr_assert(starts[0].mRun.mTask.mJob == JobId("other"));
-  f.Pass(f.mSettings.mAutonomy + f.mSettings.mHold + Duration(500));
+  f.AdvanceTime(f.mSettings.mAutonomy + f.mSettings.mHold + Duration(500));
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
 
-// Guards against a draining worker that leaves beside a takeover and holds up all inherited work:
-// nothing is started on it, so that stored progress names all that it runs.
+// Guards against a draining worker that leaves around the time of a takeover and delays all
+// inherited work. No runs are started on a draining worker, so stored progress names all that it
+// runs.
 Test(Takeover, does_not_wait_for_a_drained_worker_that_has_left)
 {
   SchedulerFixture f;
@@ -301,13 +308,13 @@
   f.mWorkers.erase(WorkerId("w0"));
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   f.TakeOver({});
-  f.HoldAll();
+  f.RenewAllLeases();
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
 
-// Guards against inherited work that waits for a worker which has gone, although the former
-// scheduler has told of all that it had started.
-Test(Takeover, waits_for_no_worker_after_a_complete_hand_over)
+// Guards against inherited work that waits for a worker which has gone, although the progress that
+// the former scheduler handed over names all runs that it had started.
+Test(Takeover, does_not_delay_inherited_work_after_a_complete_hand_over)
 {
   SchedulerFixture f;
   f.AddWorkers(2);
@@ -318,12 +325,12 @@
   f.mWorkers.erase(first.mWorker);
   f.TakeOver(progress);
   f.mScheduler->OnHandedOver(f.mNow);
-  f.HoldAll();
+  f.RenewAllLeases();
   const auto starts = f.Plan().mStarts;
   cr_assert_eq(starts.size(), 1);
   cr_assert_eq(starts[0].mRun.mTask.mJob, JobId("waiting"));
-  f.Pass(f.mSettings.mHold - Duration(500));
+  f.AdvanceTime(f.mSettings.mHold - Duration(500));
   cr_assert(f.Plan().mStarts.empty());
-  f.Pass(Duration(1000));
+  f.AdvanceTime(Duration(1000));
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
