--- a/bench/BaselinePolicy.cpp
+++ b/bench/BaselinePolicy.cpp
@@ -39,7 +39,7 @@
     Placement placement;
     for (const int it : workers) {
       const int left = aNeed.mTasks - static_cast<int>(placement.size());
-      const int n = Available(aModel, aNeed, it).Fits(aNeed.mPerTask, left);
+      const int n = Available(aModel, aNeed, it).CountFitting(aNeed.mPerTask, left);
       placement.insert(placement.end(), n, it);
       if (n == left) {
         return placement;
@@ -70,7 +70,7 @@
   }
   aContext.ReclaimAll(choice->mBorrowers, ReclaimReason::Guarantee, aJob.mJob->mJob, ServiceId());
   for (const int it : choice->mPlacement) {
-    model.AwaitGuaranteed(it, need.mAccount, need.mPerTask);
+    model.EarmarkGuaranteed(it, need.mAccount, need.mPerTask);
   }
   aContext.Wait(aJob, WaitReason::WaitingForReclaim, "");
   return true;
--- a/bench/GuaranteeDemands.cpp
+++ b/bench/GuaranteeDemands.cpp
@@ -107,7 +107,7 @@
       const auto left = aContext.mModel.IsUsable(it)
                           ? aLeft(it, account) - aReserved[{ it, account }]
                           : ResourceVector();
-      const int n = left.Fits(each, aJob.mTasks - static_cast<int>(placement.size()));
+      const int n = left.CountFitting(each, aJob.mTasks - static_cast<int>(placement.size()));
       placement.insert(placement.end(), n, it);
     }
     if (static_cast<int>(placement.size()) == aJob.mTasks) {
--- a/bench/ReplayTrace.cpp
+++ b/bench/ReplayTrace.cpp
@@ -101,9 +101,9 @@
   aText >> account >> job.mPending.mTasks >> accelerators;
   job.mPending.mAdjacency = ReadAdjacency(aText);
   job.mPending.mEstimate = ReadSeconds(aText);
-  job.mRun = ReadSeconds(aText);
+  job.mRunTime = ReadSeconds(aText);
   aText >> kind;
-  job.mCheckpoint = ReadSeconds(aText);
+  job.mCheckpointPeriod = ReadSeconds(aText);
   if (!aText || (kind != "idempotent" && kind != "once")) {
     throw std::runtime_error("invalid job line: a column is missing or invalid, or the kind is "
                              "neither idempotent nor once");
--- a/bench/ReplayTrace.h
+++ b/bench/ReplayTrace.h
@@ -13,9 +13,9 @@
 struct ReplayJob
 {
   PendingJob mPending;
-  Duration mRun{ 0 };
+  Duration mRunTime{ 0 };
   // Time between two checkpoints; 0 if the job has none.
-  Duration mCheckpoint{ 0 };
+  Duration mCheckpointPeriod{ 0 };
   std::optional<TimePoint> mCancelledAt;
 };
 
--- a/bench/TraceRun.cpp
+++ b/bench/TraceRun.cpp
@@ -225,12 +225,12 @@
 {
   const auto& job = mTrace.mJobs[aJob];
   auto& state = mJobStates[aJob];
-  if (job.mCheckpoint.count() > 0) {
+  if (job.mCheckpointPeriod.count() > 0) {
     const auto ran =
       std::max(state.mProgress, state.mProgress + Since(state.mStarted) - kStartTime);
     // A job that is asked to stop saves all its progress; a fault loses the progress since the last
     // checkpoint.
-    state.mProgress = aIsGraceful ? ran : ran - ran % job.mCheckpoint;
+    state.mProgress = aIsGraceful ? ran : ran - ran % job.mCheckpointPeriod;
   }
   RemoveLeases(aJob);
   state.mIsRunning = false;
@@ -334,13 +334,13 @@
   state.mIsRunning = true;
   state.mStarted = mSnapshot.mNow;
   if (const auto since = mDemands.DemandedSince(aStart.mJob)) {
-    mResult.mGuaranteeDelays.push_back(Since(*since) + kStartTime);
+    mResult.mGuaranteeStartDelays.push_back(Since(*since) + kStartTime);
   }
   if (const auto since = mDemands.BlockedByOthersSince(aStart.mJob)) {
     mResult.mBlockedByOthersDelays.push_back(Since(*since) + kStartTime);
   }
   mDemands.Forget(aStart.mJob);
-  PushEvent(mSnapshot.mNow + kStartTime + job.mRun - state.mProgress, EventKind::RunEnd, i,
+  PushEvent(mSnapshot.mNow + kStartTime + job.mRunTime - state.mProgress, EventKind::RunEnd, i,
             state.mAttempt);
 }
 
@@ -434,7 +434,7 @@
                              [&](const auto& aWorkers) {
                                int left = aJob.mTasks;
                                for (const int it : aWorkers) {
-                                 left -= model.Free(it).Fits(each, left);
+                                 left -= model.Free(it).CountFitting(each, left);
                                }
                                return left <= 0;
                              });
--- a/bench/TraceRun.h
+++ b/bench/TraceRun.h
@@ -34,7 +34,7 @@
   std::vector<UsageSample> mUsage;
   // Time from the demand for guaranteed capacity to the start, for each start of a job that had
   // one.
-  std::vector<Duration> mGuaranteeDelays;
+  std::vector<Duration> mGuaranteeStartDelays;
   // Time from GuaranteeDemands::BlockedByOthersSince() to the start, for each start of a job with
   // one. Excludes the time in which the account's own work or an earlier job of it needed the
   // capacity.
--- a/bench/placement_replay.cpp
+++ b/bench/placement_replay.cpp
@@ -68,10 +68,10 @@
     }
     unfinished += it.mEnded ? 0 : 1;
     const double elapsed = SecondsOf(it.mEnded.value_or(aRun.mEnd) - it.mJob->mPending.mSubmitted);
-    const double run = SecondsOf(it.mJob->mRun);
+    const double run = SecondsOf(it.mJob->mRunTime);
     completion.push_back(elapsed / 60);
     slowdown.push_back(std::max(elapsed / std::max(run, kMinRunTimeSeconds), 1.0));
-    lowerBound.push_back(SecondsOf(it.mJob->mRun + kStartTime) / 60);
+    lowerBound.push_back(SecondsOf(it.mJob->mRunTime + kStartTime) / 60);
   }
   return { { "jobs", completion.size() },
            { "unfinished", unfinished },
@@ -117,12 +117,12 @@
     lostJobs += it.mIsLost ? 1 : 0;
     reclaims += it.mReclaims;
     if (it.mEnded) {
-      useful += SecondsOf(it.mJob->mRun) / 3600 * pending.mTasks *
+      useful += SecondsOf(it.mJob->mRunTime) / 3600 * pending.mTasks *
                 static_cast<double>(pending.mResourcesPerTask.mAccelerators.Value());
     }
   }
   std::vector<double> delays;
-  for (const auto it : aRun.mGuaranteeDelays) {
+  for (const auto it : aRun.mGuaranteeStartDelays) {
     delays.push_back(SecondsOf(it));
   }
   const auto isLate = [](Duration aDelay) { return aDelay > kMaxStartDelay; };
@@ -139,8 +139,8 @@
   result["lost_jobs"] = lostJobs;
   result["reclaims"] = reclaims;
   result["guarantee"] = {
-    { "demands", aRun.mGuaranteeDelays.size() },
-    { "late", std::ranges::count_if(aRun.mGuaranteeDelays, isLate) + aRun.mOpenDemands },
+    { "demands", aRun.mGuaranteeStartDelays.size() },
+    { "late", std::ranges::count_if(aRun.mGuaranteeStartDelays, isLate) + aRun.mOpenDemands },
     { "missed", std::ranges::count_if(aRun.mBlockedByOthersDelays, isLate) + aRun.mOpenDemands },
     { "late_start_s", Distribution(std::move(delays)) },
     { "start_s", Distribution(std::move(blocked)) },
--- a/src/control/CallerApi.h
+++ b/src/control/CallerApi.h
@@ -53,7 +53,7 @@
 
 // Receive the leader's reply; nullopt if the leader couldn't be reached. The inner optional is
 // empty if the leader doesn't know the job.
-using StateCallback = std::function<void(std::optional<std::optional<KnownState>>)>;
+using StateCallback = std::function<void(std::optional<std::optional<JobStatus>>)>;
 using PendingCountCallback = std::function<void(std::optional<int>)>;
 
 // The functions that CallerApi needs from its node.
@@ -308,7 +308,7 @@
         ReadStoredState(aJob, aAccount, aResponder);
         return;
       }
-      const KnownState& known = **aAnswer;
+      const JobStatus& known = **aAnswer;
       if (!aAccount.IsEmpty() && !known.mAccount.IsEmpty() && known.mAccount != aAccount) {
         aResponder.Send({ 410, {}, "" });
         return;
--- a/src/control/EdgeNode.h
+++ b/src/control/EdgeNode.h
@@ -11,7 +11,7 @@
 #include "control/Election.h"
 #include "control/Leader.h"
 #include "control/PrefixWatch.h"
-#include "control/StoreContact.h"
+#include "control/StoreFreshness.h"
 #include "http/HttpServer.h"
 #include "peer/NghttpTransport.h"
 
@@ -152,7 +152,7 @@
       }
     };
     callbacks.mOnConfirmed = [this](Duration aConfirmed) {
-      mStoreContact.OnAnswer(aConfirmed, BootTime());
+      mStoreFreshness.OnAnswer(aConfirmed, BootTime());
     };
     mConfigurationWatch.emplace(mLoop, mStore, P::ConfigurationKey(), std::move(callbacks));
   }
@@ -178,7 +178,7 @@
     }
   }
 
-  Duration ConfigurationAge() const { return mStoreContact.Age(BootTime()); }
+  Duration ConfigurationAge() const { return mStoreFreshness.Age(BootTime()); }
 
   bool IsReady() const
   {
@@ -239,7 +239,7 @@
              ConfigurationAge() < mSettings.mRevocationLimit - kRevocationMargin;
     };
     hooks.mConfigurationAge = [this] { return ConfigurationAge(); };
-    hooks.mIsStoreReachable = [this] { return mStoreContact.IsReachable(BootTime()); };
+    hooks.mIsStoreReachable = [this] { return mStoreFreshness.IsReachable(BootTime()); };
     hooks.mQueryState = [this](const JobId& aJob, StateCallback aCallback) {
       QueryState(aJob, std::move(aCallback));
     };
@@ -297,16 +297,16 @@
                 });
   }
 
-  static std::optional<std::optional<KnownState>>
+  static std::optional<std::optional<JobStatus>>
   ReadStateReply(std::error_code aError, const Json& aReply)
   {
     if (aError || !JsonValue(aReply, "leader", false)) {
       return std::nullopt;
     }
     const auto state = scheduler::ParseJobState(JsonValue(aReply, "state", std::string()));
-    std::optional<KnownState> known;
+    std::optional<JobStatus> known;
     if (state) {
-      known = KnownState{ *state, AccountId(JsonValue(aReply, "account", std::string())) };
+      known = JobStatus{ *state, AccountId(JsonValue(aReply, "account", std::string())) };
     }
     return known;
   }
@@ -341,7 +341,7 @@
   http::HttpServer mReadinessServer;
   CallerApi<Store, typename P::Callers> mCallerApi;
   std::optional<Deployment> mDeployment;
-  StoreContact mStoreContact;
+  StoreFreshness mStoreFreshness;
   std::optional<PrefixWatch<Store>> mConfigurationWatch;
   std::optional<Election<Store>> mElection;
   std::unique_ptr<LeaderType> mLeader;
--- a/src/control/Election.h
+++ b/src/control/Election.h
@@ -36,9 +36,9 @@
 // Elects one leader among the nodes: the one that creates a key that is bound to a store lease.
 // Each leadership has a higher fencing token than all earlier ones.
 //
-// A leader that can't reach the store remains leader for the autonomy time, because no other node
-// can be elected in an outage of the whole store. If only this node is cut off, workers that a new
-// leader has called refuse its orders by their fencing token.
+// A leader that can't reach the store remains leader for mStoreOutageTolerance, because no other
+// node can be elected in an outage of the whole store. If only this node is cut off, workers that a
+// new leader has called refuse its orders by their fencing token.
 template<kv::PrefixStore Store>
 class Election
 {
@@ -245,7 +245,7 @@
   void Renew()
   {
     const auto now = std::chrono::steady_clock::now();
-    if (now - mConfirmedAt > mSettings.mScheduler.mAutonomy - kLeadershipRenewal) {
+    if (now - mConfirmedAt > mSettings.mScheduler.mStoreOutageTolerance - kLeadershipRenewal) {
       EndLeadership("store_unreachable");
       return;
     }
--- a/src/control/Leader.h
+++ b/src/control/Leader.h
@@ -42,7 +42,7 @@
 };
 
 // A job's state and client account as the leader knows them.
-struct KnownState
+struct JobStatus
 {
   scheduler::JobState mState = scheduler::JobState::Queued;
   AccountId mAccount;
@@ -65,7 +65,7 @@
     , mSettings(aSettings)
     , mToken(aElection.Token())
     , mScheduler(aSettings.mScheduler, std::chrono::steady_clock::now())
-    , mLeases(aLoop, aCalls, mScheduler, aElection.Token(), aSettings.mScheduler.mHold,
+    , mLeases(aLoop, aCalls, mScheduler, aElection.Token(), aSettings.mScheduler.mLeaseDuration,
               MakeLeaseHooks())
   {
     OnDeployment(aDeployment);
@@ -76,7 +76,7 @@
   // Returns the state that the next leader needs and may not find in the store.
   HandOver UnstoredState() const
   {
-    return { mToken, mScheduler.IsSettled(), mScheduler.UnstoredProgress() };
+    return { mToken, mScheduler.IsTakeoverSettled(), mScheduler.UnstoredProgress() };
   }
 
   // Applies a changed configuration.
@@ -97,13 +97,13 @@
   // Returns the job's state; nullopt if the leader doesn't know the job. An ended job is reported
   // as in progress until its end is stored, unless the last store write failed: the worker then
   // keeps the end until it is stored. Cancellations are reported at once.
-  std::optional<KnownState> State(const JobId& aJob) const
+  std::optional<JobStatus> State(const JobId& aJob) const
   {
     const auto* job = mScheduler.FindJob(aJob);
     if (!job) {
       return std::nullopt;
     }
-    KnownState known{ job->State(), job->Accepted().mAccount };
+    JobStatus known{ job->State(), job->Accepted().mAccount };
     if (job->IsOver() && known.mState != scheduler::JobState::Cancelled &&
         !mScheduler.IsStored(aJob) && !mWriter->IsFailing()) {
       known.mState = scheduler::JobState::InProgress;
@@ -114,7 +114,10 @@
   int PendingJobs(const std::string& aQueue) const { return mScheduler.PendingJobs(aQueue); }
 
 private:
-  static scheduler::Now Now() { return { std::chrono::steady_clock::now(), WallClockMs() }; }
+  static scheduler::CurrentTime Now()
+  {
+    return { std::chrono::steady_clock::now(), WallClockMs() };
+  }
 
   WorkerLeaseHooks MakeLeaseHooks()
   {
@@ -255,7 +258,7 @@
     }
     const auto age = WallClockMs() - job->mAcceptedMs;
     if (!aInherited && !mScheduler.FindJob(job->mId) &&
-        age > mSettings.mScheduler.mKeepFinished.count()) {
+        age > mSettings.mScheduler.mFinishedRetention.count()) {
       // The record was listed before it was deleted: every job of that age is either known, or has
       // ended and been deleted.
       LogEvent("job_record_outdated").With("job", job->mId).With("age_ms", age);
@@ -293,7 +296,7 @@
         }
       }
       for (const auto& it : std::exchange(mUnlisted, {})) {
-        mScheduler.OnWorkerUnlisted(it);
+        mScheduler.OnWorkerUnregistered(it);
       }
       for (const auto& [key, item] : aItems) {
         OnWorkerItem(key, item.mValue);
@@ -304,7 +307,7 @@
       if (aEvent.mValue) {
         OnWorkerItem(aEvent.mKey, *aEvent.mValue);
       } else {
-        mScheduler.OnWorkerUnlisted(Registry::Worker(aEvent.mKey));
+        mScheduler.OnWorkerUnregistered(Registry::Worker(aEvent.mKey));
         LogEvent("worker_unlisted").With("worker", Registry::Worker(aEvent.mKey));
       }
       SchedulePlan();
@@ -325,7 +328,7 @@
     if (entry->mDraining && !wasDraining) {
       LogEvent("worker_draining")
         .With("worker", entry->mId)
-        .With("remaining_ms", entry->mRemaining);
+        .With("remaining_ms", entry->mRemainingTime);
     }
     mScheduler.OnWorkerEntry(*entry, Now());
     mLeases.Renew(entry->mId);
@@ -438,12 +441,12 @@
     const auto done = [this, batch, expired](bool aIsStored) {
       if (aIsStored) {
         mScheduler.OnStored(*batch);
-        mScheduler.Forget(expired);
+        mScheduler.RemoveJobs(expired);
       } else {
         mScheduler.OnNotStored(*batch);
         mDeleteExpired = !expired.empty();
       }
-      for (const auto& it : batch->mSeen) {
+      for (const auto& it : batch->mProcessedEnds) {
         if (aIsStored) {
           mLeases.Renew(it.mWorker);
         }
--- a/src/control/StoreContact.h
+++ b/src/control/StoreFreshness.h
@@ -6,7 +6,7 @@
 namespace lovagerock::control {
 
 // Tracks how recent a node's view of the store is. All times are BootTime().
-class StoreContact
+class StoreFreshness
 {
 public:
   // Records a call that was sent and answered at the given times. Its answer covers everything that
--- a/src/control/WorkerCalls.h
+++ b/src/control/WorkerCalls.h
@@ -34,7 +34,7 @@
   // The lease's new end; if unset, the call only requests the report.
   std::optional<scheduler::WorkerClock> mLeaseDeadline;
   // The worker may drop ended runs up to this number from its report, since they are stored.
-  std::int64_t mStored = 0;
+  std::int64_t mLastStoredEnd = 0;
   // How long the worker may hold back its reply until a run ends.
   Duration mWait{ 0 };
 };
@@ -51,7 +51,7 @@
   scheduler::OrderOutcome mOutcome = scheduler::OrderOutcome::Unknown;
   // The connection was refused: nothing listens at the worker's address.
   bool mIsConnectionRefused = false;
-  scheduler::HoldReport mReport;
+  scheduler::LeaseReport mReport;
 };
 
 using OrderCallback = std::function<void(OrderReply)>;
--- a/src/control/WorkerLeases.h
+++ b/src/control/WorkerLeases.h
@@ -33,12 +33,12 @@
 {
 public:
   WorkerLeases(EventLoop& aLoop, Calls& aCalls, scheduler::Scheduler& aScheduler,
-               FencingToken aToken, Duration aLeaseTime, WorkerLeaseHooks aHooks)
+               FencingToken aToken, Duration aLeaseDuration, WorkerLeaseHooks aHooks)
     : mLoop(aLoop)
     , mCalls(aCalls)
     , mScheduler(aScheduler)
     , mToken(aToken)
-    , mLeaseTime(aLeaseTime)
+    , mLeaseDuration(aLeaseDuration)
     , mHooks(std::move(aHooks))
   {
   }
@@ -58,7 +58,7 @@
     }
     const auto elapsed = std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() -
                                                               it->second.mClockReadAt);
-    return *it->second.mClock + scheduler::WorkerClock((elapsed + mLeaseTime).count());
+    return *it->second.mClock + scheduler::WorkerClock((elapsed + mLeaseDuration).count());
   }
 
   // Renews the worker's lease now and repeatedly from then on, unless a call is already in flight.
@@ -76,8 +76,8 @@
     const auto& worker = it->second;
     RenewalCall call;
     call.mLeaseDeadline = renewal.mLastCallFailed ? std::nullopt : Deadline(aWorker);
-    call.mStored = worker.mStored;
-    call.mWait = call.mLeaseDeadline && worker.mConfirmed ? kRenewalWait : Duration(0);
+    call.mLastStoredEnd = worker.mLastStoredEnd;
+    call.mWait = call.mLeaseDeadline && worker.mHasAnswered ? kRenewalWait : Duration(0);
     renewal.mInFlight = true;
     renewal.mRetryTimer.Cancel();
     if (call.mLeaseDeadline) {
@@ -102,7 +102,10 @@
     Timer mRetryTimer;
   };
 
-  static scheduler::Now Now() { return { std::chrono::steady_clock::now(), WallClockMs() }; }
+  static scheduler::CurrentTime Now()
+  {
+    return { std::chrono::steady_clock::now(), WallClockMs() };
+  }
 
   void OnRenewalReply(const WorkerId& aWorker, const RenewalReply& aReply)
   {
@@ -115,7 +118,7 @@
       case scheduler::OrderOutcome::Done:
         renewal.mClock = aReply.mReport.mClock;
         renewal.mClockReadAt = std::chrono::steady_clock::now();
-        mScheduler.OnHoldReport(aWorker, aReply.mReport, Now());
+        mScheduler.OnLeaseReport(aWorker, aReply.mReport, Now());
         break;
       case scheduler::OrderOutcome::Fenced:
         mHooks.mOnFenced(aWorker);
@@ -142,14 +145,15 @@
   bool HasUnstoredEnds(const WorkerId& aWorker) const
   {
     const auto it = mScheduler.Workers().find(aWorker);
-    return it != mScheduler.Workers().end() && it->second.mSeen > it->second.mStored;
+    return it != mScheduler.Workers().end() &&
+           it->second.mLastProcessedEnd > it->second.mLastStoredEnd;
   }
 
   EventLoop& mLoop;
   Calls& mCalls;
   scheduler::Scheduler& mScheduler;
   FencingToken mToken;
-  Duration mLeaseTime;
+  Duration mLeaseDuration;
   WorkerLeaseHooks mHooks;
   std::map<WorkerId, Renewal> mRenewals;
   CallbackGuard mGuard;
--- a/src/membership/ListReader.cpp
+++ b/src/membership/ListReader.cpp
@@ -7,8 +7,8 @@
 namespace lovagerock::membership {
 
 NodeId
-ListReaderOf(const RegionId& aRegion, std::vector<NodeId> aNodes,
-             std::chrono::system_clock::time_point aNow)
+SelectListReader(const RegionId& aRegion, std::vector<NodeId> aNodes,
+                 std::chrono::system_clock::time_point aNow)
 {
   constexpr std::chrono::minutes kTurn{ 10 };
   if (aNodes.size() > 1) {
--- a/src/membership/ListReader.h
+++ b/src/membership/ListReader.h
@@ -12,7 +12,7 @@
 // others take turns of 10 minutes by the wall clock, which spreads the traffic. Nodes whose clocks
 // differ may select two readers for a while, which is harmless.
 NodeId
-ListReaderOf(const RegionId& aRegion, std::vector<NodeId> aNodes,
-             std::chrono::system_clock::time_point aNow);
+SelectListReader(const RegionId& aRegion, std::vector<NodeId> aNodes,
+                 std::chrono::system_clock::time_point aNow);
 
 } // namespace lovagerock::membership
--- a/src/membership/MemberTable.h
+++ b/src/membership/MemberTable.h
@@ -46,7 +46,7 @@
   // Whether the other nodes may have taken this node for dead: after its start and after a pause,
   // until a member answers a heartbeat that was sent since then. After its start, a node that finds
   // no other node in the VM list, or gets no answer within the live timeout, is confirmed as well.
-  bool IsUnsure() const { return mViewUnconfirmed; }
+  bool IsViewUnconfirmed() const { return mViewUnconfirmed; }
   // All known members, this node included, ordered by id.
   std::vector<MemberView> Members(TimePoint aNow) const;
   // Number of known nodes, this node included: those in the VM list and the known members.
--- a/src/membership/Membership.h
+++ b/src/membership/Membership.h
@@ -91,7 +91,7 @@
     return AdvancedTable().LiveNodes(aRegion, mLastNow);
   }
   std::size_t KnownCount() { return AdvancedTable().KnownCount(); }
-  bool IsUnsure() { return AdvancedTable().IsUnsure(); }
+  bool IsViewUnconfirmed() { return AdvancedTable().IsViewUnconfirmed(); }
 
   // Returns the live member of a region that owns the key, or of all regions if aRegion is empty;
   // empty if there is no live member. A node must not act as owner while IsViewUnconfirmed().
@@ -177,7 +177,7 @@
   void Update()
   {
     auto& table = AdvancedTable();
-    auto view = std::pair(table.Members(mLastNow), table.IsUnsure());
+    auto view = std::pair(table.Members(mLastNow), table.IsViewUnconfirmed());
     if (view == mNotified) {
       return;
     }
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -262,7 +262,8 @@
 Node::CheckPlannerRole()
 {
   const auto now = std::chrono::steady_clock::now();
-  const bool owner = !mShuttingDown && !mMembership.IsUnsure() && PlannerNode() == mSettings.mNode;
+  const bool owner =
+    !mShuttingDown && !mMembership.IsViewUnconfirmed() && PlannerNode() == mSettings.mNode;
   // The planner reads leases and fences itself, so that it decides on nothing older than before.
   mMonitor.SetPollAll(owner);
   if (!owner || !mDocument) {
--- a/src/node/NodeWatching.cpp
+++ b/src/node/NodeWatching.cpp
@@ -42,8 +42,8 @@
 Node::UpdateWatchNodes()
 {
   // A node that others may have taken for dead watches for itself.
-  mWatchNodes =
-    mMembership.IsUnsure() ? std::vector<NodeId>() : mMembership.LiveNodes(mSettings.mRegion);
+  mWatchNodes = mMembership.IsViewUnconfirmed() ? std::vector<NodeId>()
+                                                : mMembership.LiveNodes(mSettings.mRegion);
   mMonitor.Reassign();
 }
 
@@ -65,8 +65,8 @@
 Node::ReadsVmList() const
 {
   return mWatchNodes.empty() ||
-         membership::ListReaderOf(mSettings.mRegion, mWatchNodes,
-                                  std::chrono::system_clock::now()) == mSettings.mNode;
+         membership::SelectListReader(mSettings.mRegion, mWatchNodes,
+                                      std::chrono::system_clock::now()) == mSettings.mNode;
 }
 
 std::vector<SocketAddress>
--- a/src/node/PolicyConversion.cpp
+++ b/src/node/PolicyConversion.cpp
@@ -91,7 +91,7 @@
   }
   const auto policy = ToPolicyInput(aDocument);
   const auto snapshot = jobs::BuildSnapshot(policy, aWorkers, {}, true, TimePoint());
-  const auto unpackable = placement::CanPackAll(snapshot.mWorkers, snapshot.mAccounts);
+  const auto unpackable = placement::FindUnpackableGuarantee(snapshot.mWorkers, snapshot.mAccounts);
   if (!unpackable) {
     return {};
   }
--- a/src/placement/ClusterModel.cpp
+++ b/src/placement/ClusterModel.cpp
@@ -316,7 +316,7 @@
 }
 
 void
-ClusterModel::AwaitGuaranteed(int aWorker, int aAccount, const ResourceVector& aAmount)
+ClusterModel::EarmarkGuaranteed(int aWorker, int aAccount, const ResourceVector& aAmount)
 {
   Earmark(aWorker, aAmount);
   FindShare(aWorker, aAccount)->mUsed += aAmount;
--- a/src/placement/ClusterModel.h
+++ b/src/placement/ClusterModel.h
@@ -134,7 +134,7 @@
   // Sets capacity aside for work that waits for a reclaim: first what is free, then what is being
   // released. The account's use grows only when the work starts.
   void Earmark(int aWorker, const ResourceVector& aAmount);
-  void AwaitGuaranteed(int aWorker, int aAccount, const ResourceVector& aAmount);
+  void EarmarkGuaranteed(int aWorker, int aAccount, const ResourceVector& aAmount);
   // Marks a borrower as reclaimed by this plan and counts its resources as being released.
   void MarkReclaimed(int aBorrower);
 
--- a/src/placement/GangSearch.cpp
+++ b/src/placement/GangSearch.cpp
@@ -155,7 +155,7 @@
 {
   int left = aNeed.mTasks;
   for (const int it : aWorkers) {
-    const int n = aAvailable(it).Fits(aNeed.mPerTask, left);
+    const int n = aAvailable(it).CountFitting(aNeed.mPerTask, left);
     if (n > 0 && !aNeed.Excludes(it)) {
       left -= n;
       if (left <= 0) {
@@ -193,7 +193,7 @@
 {
   std::array<std::vector<std::pair<int, int>>, detail::kCostClasses> classes;
   for (const int it : aWorkers) {
-    const int n = aAvailable(it).Fits(aNeed.mPerTask, aNeed.mTasks);
+    const int n = aAvailable(it).CountFitting(aNeed.mPerTask, aNeed.mTasks);
     if (n > 0 && !aNeed.Excludes(it)) {
       const double cost = std::clamp(WorkerCost(it, aNeed), 0.0, 1.0);
       classes[static_cast<int>(cost * (detail::kCostClasses - 1))].emplace_back(it, n);
--- a/src/placement/GuaranteeAssigner.cpp
+++ b/src/placement/GuaranteeAssigner.cpp
@@ -83,7 +83,8 @@
 }
 
 std::optional<UnpackableGuarantee>
-CanPackAll(const std::vector<WorkerView>& aWorkers, const std::vector<AccountView>& aAccounts)
+FindUnpackableGuarantee(const std::vector<WorkerView>& aWorkers,
+                        const std::vector<AccountView>& aAccounts)
 {
   std::vector<WorkerView> empty = aWorkers;
   for (auto& it : empty) {
--- a/src/placement/GuaranteeAssigner.h
+++ b/src/placement/GuaranteeAssigner.h
@@ -31,7 +31,8 @@
 // Returns the first copy of a guarantee that does not fit on the workers together with all others,
 // regardless of the workers' health and leases; nullopt if all fit.
 std::optional<UnpackableGuarantee>
-CanPackAll(const std::vector<WorkerView>& aWorkers, const std::vector<AccountView>& aAccounts);
+FindUnpackableGuarantee(const std::vector<WorkerView>& aWorkers,
+                        const std::vector<AccountView>& aAccounts);
 
 // Assigns workers to every copy of every guarantee by first-fit decreasing.
 class GuaranteeAssigner
--- a/src/placement/PlanBuilder.cpp
+++ b/src/placement/PlanBuilder.cpp
@@ -254,7 +254,7 @@
   }
   mContext.ReclaimAll(choice->mBorrowers, ReclaimReason::Guarantee, aJob.mJob->mJob, ServiceId());
   for (const int it : choice->mPlacement) {
-    model.AwaitGuaranteed(it, aNeed.mAccount, aNeed.mPerTask);
+    model.EarmarkGuaranteed(it, aNeed.mAccount, aNeed.mPerTask);
   }
   mContext.Wait(aJob, WaitReason::WaitingForReclaim,
                 "borrowed work on the account's guaranteed capacity is being reclaimed");
@@ -269,7 +269,7 @@
   for (const auto& workers : mContext.OwnDomains(need.mAccount, need.mAdjacency)) {
     int left = need.mTasks;
     for (const int it : workers) {
-      left -= model.ShareOf(it, need.mAccount).Fits(need.mPerTask, need.mTasks);
+      left -= model.ShareOf(it, need.mAccount).CountFitting(need.mPerTask, need.mTasks);
     }
     if (left <= 0) {
       return true;
--- a/src/placement/ReclaimSearch.cpp
+++ b/src/placement/ReclaimSearch.cpp
@@ -97,7 +97,7 @@
         obtainable += lease.mResources;
       }
     }
-    const int n = ResourceVector::Min(bound, obtainable).Fits(aNeed.mPerTask, aNeed.mTasks);
+    const int n = ResourceVector::Min(bound, obtainable).CountFitting(aNeed.mPerTask, aNeed.mTasks);
     const auto borrowers =
       n > 0 ? Cover(it, aNeed.mPerTask * n, aAllowed) : std::optional<std::vector<int>>();
     if (!borrowers) {
--- a/src/placement/ReservationPlanner.cpp
+++ b/src/placement/ReservationPlanner.cpp
@@ -103,7 +103,7 @@
   int n = 0;
   for (const auto& [worker, count] : counts) {
     n += ResourceVector::Positive(mContext.mModel.Free(worker) - mContext.mModel.Held(worker))
-           .Fits(aNeed.mPerTask, count);
+           .CountFitting(aNeed.mPerTask, count);
   }
   return n;
 }
@@ -304,13 +304,13 @@
   std::vector<std::tuple<bool, TimePoint, bool, int, int>> ready;
   int obtainable = 0;
   for (const int it : aWorkers) {
-    const int n = Obtainable(aNeed, it).Fits(aNeed.mPerTask, aNeed.mTasks);
+    const int n = Obtainable(aNeed, it).CountFitting(aNeed.mPerTask, aNeed.mTasks);
     if (n == 0 || aNeed.Excludes(it)) {
       continue;
     }
     obtainable += n;
     const int nowFree = std::min(
-      n, ResourceVector::Positive(model.Free(it) - model.Held(it)).Fits(aNeed.mPerTask, n));
+      n, ResourceVector::Positive(model.Free(it) - model.Held(it)).CountFitting(aNeed.mPerTask, n));
     const bool isLent = !aNeed.mPerTask.FitsInto(model.Unassigned(it));
     if (nowFree > 0) {
       ready.emplace_back(false, now, isLent, it, nowFree);
--- a/src/placement/ResourceVector.h
+++ b/src/placement/ResourceVector.h
@@ -90,7 +90,7 @@
   }
 
   // Returns how many times aNeed fits into this vector, at most aLimit. aNeed must not be zero.
-  int Fits(const ResourceVector& aNeed, int aLimit) const
+  int CountFitting(const ResourceVector& aNeed, int aLimit) const
   {
     if (!aNeed.FitsInto(*this)) {
       return 0;
--- a/src/placement/ServicePlanner.cpp
+++ b/src/placement/ServicePlanner.cpp
@@ -160,7 +160,7 @@
   }
   mContext.ReclaimAll(choice->mBorrowers, ReclaimReason::Guarantee, JobId(), aService.mService);
   for (const int it : choice->mPlacement) {
-    model.AwaitGuaranteed(it, aNeed.mAccount, aNeed.mPerTask);
+    model.EarmarkGuaranteed(it, aNeed.mAccount, aNeed.mPerTask);
   }
   return true;
 }
--- a/src/scheduler/Fleet.h
+++ b/src/scheduler/Fleet.h
@@ -55,7 +55,7 @@
   bool mRecorded = false;
   // Whether the worker has answered a lease renewal of this scheduler. From then on it rejects the
   // orders of earlier schedulers.
-  bool mConfirmed = false;
+  bool mHasAnswered = false;
   // Upper bound on when the worker's lease expires unless it is renewed. Nothing runs there later.
   TimePoint mLeaseExpiry;
   // No run is started on the worker before this time.
@@ -63,8 +63,8 @@
   TimePoint mDrainingSince;
   // The highest FinishedRun::mNumber that was processed, and the highest one whose effects are
   // stored.
-  std::int64_t mSeen = 0;
-  std::int64_t mStored = 0;
+  std::int64_t mLastProcessedEnd = 0;
+  std::int64_t mLastStoredEnd = 0;
   // Failed runs since the last one that completed. Successive failures of one job count once: a
   // worker counts as failing only if runs of several jobs fail there.
   int mConsecutiveFailures = 0;
@@ -78,7 +78,7 @@
   bool AcceptsWork() const { return mRegistered && !mEntry.mDraining; }
   // Whether the record of its rack has to name the worker: runs may be started there, or an earlier
   // scheduler may have started some.
-  bool BelongsInRackRecord() const { return AcceptsWork() || (mRecorded && !mConfirmed); }
+  bool BelongsInRackRecord() const { return AcceptsWork() || (mRecorded && !mHasAnswered); }
   Capacity Free() const { return mEntry.mCapacity - mUsed; }
   PlacedRun* Find(const RunRef& aRun);
   PlacedRun& Add(PlacedRun aRun);
--- a/src/scheduler/Orders.h
+++ b/src/scheduler/Orders.h
@@ -45,7 +45,7 @@
 struct ProcessedEnds
 {
   WorkerId mWorker;
-  WorkerBirth mBirth;
+  WorkerIncarnation mIncarnation;
   std::int64_t mNumber = 0;
 };
 
@@ -64,7 +64,7 @@
 {
   std::vector<ProgressWrite> mWrites;
   std::vector<RackWrite> mRacks;
-  std::vector<ProcessedEnds> mSeen;
+  std::vector<ProcessedEnds> mProcessedEnds;
 };
 
 } // namespace lovagerock::scheduler
--- a/src/scheduler/Placer.cpp
+++ b/src/scheduler/Placer.cpp
@@ -22,7 +22,7 @@
 {
   std::map<RackId, std::vector<const Worker*>> racks;
   for (const auto& [id, worker] : aFleet) {
-    const bool isUsable = worker.mConfirmed && worker.AcceptsWork() && worker.mRecorded &&
+    const bool isUsable = worker.mHasAnswered && worker.AcceptsWork() && worker.mRecorded &&
                           worker.mAvoidUntil <= aNow && worker.mLeaseExpiry > aNow;
     if (isUsable) {
       racks[worker.mEntry.mRack].push_back(&worker);
--- a/src/scheduler/Scheduler.cpp
+++ b/src/scheduler/Scheduler.cpp
@@ -17,7 +17,7 @@
 
 Scheduler::Scheduler(const SchedulerSettings& aSettings, TimePoint aTakeover)
   : mSettings(aSettings)
-  , mInheritedUntil(aTakeover + aSettings.mAutonomy + aSettings.mHold)
+  , mInheritedUntil(aTakeover + aSettings.mStoreOutageTolerance + aSettings.mLeaseDuration)
 {
 }
 
@@ -41,7 +41,7 @@
 
 bool
 Scheduler::AddJob(const AcceptedJob& aJob, const std::string& aProgress, bool aInherited,
-                  const Now& aNow)
+                  const CurrentTime& aNow)
 {
   if (mJobs.contains(aJob.mId)) {
     return true;
@@ -91,7 +91,7 @@
 }
 
 void
-Scheduler::CancelJob(const JobId& aJob, const Now& aNow)
+Scheduler::CancelJob(const JobId& aJob, const CurrentTime& aNow)
 {
   auto* job = FindMutable(aJob);
   if (!job || job->IsOver()) {
@@ -112,11 +112,11 @@
 }
 
 std::vector<JobId>
-Scheduler::ExpiredJobs(const Now& aNow) const
+Scheduler::ExpiredJobs(const CurrentTime& aNow) const
 {
   std::vector<JobId> expired;
   for (const auto& [id, job] : mJobs) {
-    if (job.IsOver() && aNow.mWallMs - job.FinishedMs() > mSettings.mKeepFinished.count() &&
+    if (job.IsOver() && aNow.mWallMs - job.FinishedMs() > mSettings.mFinishedRetention.count() &&
         IsStored(id)) {
       expired.push_back(id);
     }
@@ -125,7 +125,7 @@
 }
 
 void
-Scheduler::Forget(const std::vector<JobId>& aJobs)
+Scheduler::RemoveJobs(const std::vector<JobId>& aJobs)
 {
   for (const auto& it : aJobs) {
     mJobs.erase(it);
@@ -147,7 +147,7 @@
 }
 
 void
-Scheduler::OnWorkerEntry(const WorkerEntry& aEntry, const Now& aNow)
+Scheduler::OnWorkerEntry(const WorkerEntry& aEntry, const CurrentTime& aNow)
 {
   auto [it, isNew] = mFleet.try_emplace(aEntry.mId);
   auto& worker = it->second;
@@ -157,8 +157,8 @@
     mDirtyRacks.insert(aEntry.mRack);
     mDirtyRacks.insert(isNew ? aEntry.mRack : known.mRack);
   }
-  const auto birth = worker.mEntry.mBirth;
-  const bool isRestarted = !isNew && aEntry.mBirth > birth && birth.Value() != 0;
+  const auto birth = worker.mEntry.mIncarnation;
+  const bool isRestarted = !isNew && aEntry.mIncarnation > birth && birth.Value() != 0;
   if (isRestarted) {
     OnWorkerReplaced(aEntry.mId, aNow);
   }
@@ -171,13 +171,13 @@
   }
   worker.mEntry = aEntry;
   // A report of the worker may have named a later incarnation than its registry entry does.
-  worker.mEntry.mBirth = std::max(birth, aEntry.mBirth);
+  worker.mEntry.mIncarnation = std::max(birth, aEntry.mIncarnation);
   worker.mRegistered = true;
   mAwaitedWorkers.erase(aEntry.mId);
 }
 
 void
-Scheduler::OnWorkerUnlisted(const WorkerId& aWorker)
+Scheduler::OnWorkerUnregistered(const WorkerId& aWorker)
 {
   const auto it = mFleet.find(aWorker);
   if (it != mFleet.end() && it->second.mRegistered) {
@@ -187,7 +187,7 @@
 }
 
 void
-Scheduler::OnLeaseSent(const WorkerId& aWorker, const Now& aNow)
+Scheduler::OnLeaseSent(const WorkerId& aWorker, const CurrentTime& aNow)
 {
   const auto it = mFleet.find(aWorker);
   if (it != mFleet.end()) {
@@ -198,11 +198,11 @@
 Duration
 Scheduler::MaxLeaseDuration() const
 {
-  return mSettings.mHold * (100 + mSettings.mClockDriftPercent) / 100;
+  return mSettings.mLeaseDuration * (100 + mSettings.mClockDriftPercent) / 100;
 }
 
 void
-Scheduler::OnWorkerReplaced(const WorkerId& aWorker, const Now& aNow)
+Scheduler::OnWorkerReplaced(const WorkerId& aWorker, const CurrentTime& aNow)
 {
   const auto it = mFleet.find(aWorker);
   if (it == mFleet.end()) {
@@ -210,15 +210,15 @@
   }
   LogEvent("worker_replaced").With("worker", aWorker).With("runs", it->second.mRuns.size());
   DropAllRuns(it->second, aNow);
-  it->second.mSeen = 0;
-  it->second.mStored = 0;
+  it->second.mLastProcessedEnd = 0;
+  it->second.mLastStoredEnd = 0;
   it->second.mConsecutiveFailures = 0;
-  it->second.mConfirmed = false;
+  it->second.mHasAnswered = false;
   it->second.mLeaseExpiry = aNow.mSteady;
 }
 
 void
-Scheduler::OnWorkerRefused(const WorkerId& aWorker, const Now& aNow)
+Scheduler::OnWorkerRefused(const WorkerId& aWorker, const CurrentTime& aNow)
 {
   const auto it = mFleet.find(aWorker);
   // While the worker is registered, the refusal may come from the network rather than the worker.
@@ -230,18 +230,18 @@
 }
 
 void
-Scheduler::DropAllRuns(Worker& aWorker, const Now& aNow)
+Scheduler::DropAllRuns(Worker& aWorker, const CurrentTime& aNow)
 {
   const auto runs = aWorker.mRuns;
   for (const auto& it : runs) {
-    DropRun(aWorker, it.mRun, RunEnd::Lapsed, "", aNow);
+    DropRun(aWorker, it.mRun, RunEnd::LeaseExpired, "", aNow);
     ++mCounts.mLostRuns;
   }
 }
 
 void
 Scheduler::DropRun(Worker& aWorker, const RunRef& aRun, RunEnd aEnd, const std::string& aCheckpoint,
-                   const Now& aNow)
+                   const CurrentTime& aNow)
 {
   aWorker.Remove(aRun);
   ApplyEnd(aWorker.mEntry.mId, aRun, aEnd, aCheckpoint, aNow);
@@ -268,7 +268,7 @@
 
 void
 Scheduler::ApplyEnd(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd,
-                    const std::string& aCheckpoint, const Now& aNow)
+                    const std::string& aCheckpoint, const CurrentTime& aNow)
 {
   auto* job = FindMutable(aRun.mTask.mJob);
   auto* task = job ? job->FindOrOpen(aRun.mTask) : nullptr;
@@ -305,7 +305,8 @@
 }
 
 void
-Scheduler::ApplyFailure(Job& aJob, const RunRef& aRun, const WorkerId& aWorker, const Now& aNow)
+Scheduler::ApplyFailure(Job& aJob, const RunRef& aRun, const WorkerId& aWorker,
+                        const CurrentTime& aNow)
 {
   ++mCounts.mFailedRuns;
   const auto& spec = aJob.Spec(aRun.mTask.mStep);
@@ -337,7 +338,7 @@
 
 void
 Scheduler::UpdateWorkerFailures(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd,
-                                const Now& aNow)
+                                const CurrentTime& aNow)
 {
   const auto it = mFleet.find(aWorker);
   if (it == mFleet.end()) {
@@ -356,7 +357,7 @@
 }
 
 bool
-Scheduler::IsGangBroken(const Job& aJob, const PlacedRun& aRun, const Now& aNow) const
+Scheduler::IsGangBroken(const Job& aJob, const PlacedRun& aRun, const CurrentTime& aNow) const
 {
   const auto& ref = aRun.mRun.mTask;
   const auto it = aJob.OpenOccurrences().find(ref.mOccurrence);
@@ -374,19 +375,19 @@
 }
 
 bool
-Scheduler::MayRunUnreported(const Task& aTask, const Now& aNow) const
+Scheduler::MayRunUnreported(const Task& aTask, const CurrentTime& aNow) const
 {
   if (aTask.mPhase != TaskPhase::Waiting || aTask.mWorker.IsEmpty()) {
     return false;
   }
   const auto it = mFleet.find(aTask.mWorker);
   const bool isSilent =
-    it != mFleet.end() && !it->second.mConfirmed && it->second.mLeaseExpiry >= aNow.mSteady;
+    it != mFleet.end() && !it->second.mHasAnswered && it->second.mLeaseExpiry >= aNow.mSteady;
   return isSilent || mAwaitedWorkers.contains(aTask.mWorker);
 }
 
 bool
-Scheduler::IsWanted(const Worker& aWorker, const PlacedRun& aRun, const Now& aNow) const
+Scheduler::IsWanted(const Worker& aWorker, const PlacedRun& aRun, const CurrentTime& aNow) const
 {
   const auto* job = FindJob(aRun.mRun.mTask.mJob);
   if (!job || job->IsOver()) {
@@ -453,8 +454,8 @@
     batch.mRacks.push_back(TakeRack(rack));
   }
   for (const auto& [id, worker] : mFleet) {
-    if (worker.mSeen > worker.mStored) {
-      batch.mSeen.push_back({ id, worker.mEntry.mBirth, worker.mSeen });
+    if (worker.mLastProcessedEnd > worker.mLastStoredEnd) {
+      batch.mProcessedEnds.push_back({ id, worker.mEntry.mIncarnation, worker.mLastProcessedEnd });
     }
   }
   mHasUnstoredEnds = false;
@@ -474,13 +475,13 @@
       }
     }
   }
-  for (const auto& it : aBatch.mSeen) {
+  for (const auto& it : aBatch.mProcessedEnds) {
     const auto worker = mFleet.find(it.mWorker);
-    if (worker != mFleet.end() && worker->second.mEntry.mBirth == it.mBirth) {
+    if (worker != mFleet.end() && worker->second.mEntry.mIncarnation == it.mIncarnation) {
       // OnWorkerReplaced() may have reset mLastProcessedEnd since the batch was taken, and the new
       // incarnation numbers its ends from the start. Its ends must not count as stored.
-      const auto number = std::min(it.mNumber, worker->second.mSeen);
-      worker->second.mStored = std::max(worker->second.mStored, number);
+      const auto number = std::min(it.mNumber, worker->second.mLastProcessedEnd);
+      worker->second.mLastStoredEnd = std::max(worker->second.mLastStoredEnd, number);
     }
   }
 }
@@ -495,7 +496,7 @@
   for (const auto& it : aBatch.mRacks) {
     mDirtyRacks.insert(it.mRack);
   }
-  mHasUnstoredEnds = mHasUnstoredEnds || !aBatch.mSeen.empty();
+  mHasUnstoredEnds = mHasUnstoredEnds || !aBatch.mProcessedEnds.empty();
 }
 
 std::vector<ProgressWrite>
--- a/src/scheduler/Scheduler.h
+++ b/src/scheduler/Scheduler.h
@@ -16,7 +16,7 @@
 namespace lovagerock::scheduler {
 
 // The current time, on the steady clock and the wall clock.
-struct Now
+struct CurrentTime
 {
   TimePoint mSteady;
   // Milliseconds since 1970.
@@ -54,38 +54,38 @@
 
   // Adds a job with its stored progress, which is empty if there is none. Does nothing if the job
   // is known. Returns false if the progress is malformed.
-  bool
-  AddJob(const AcceptedJob& aJob, const std::string& aProgress, bool aInherited, const Now& aNow);
-  void CancelJob(const JobId& aJob, const Now& aNow);
+  bool AddJob(const AcceptedJob& aJob, const std::string& aProgress, bool aInherited,
+              const CurrentTime& aNow);
+  void CancelJob(const JobId& aJob, const CurrentTime& aNow);
   const Job* FindJob(const JobId& aJob) const;
   std::size_t JobCount() const { return mJobs.size(); }
   // Returns the number of jobs of a queue that aren't over and of which no task has started.
   int PendingJobs(const std::string& aQueue) const;
   // Returns the jobs whose end is stored and longer ago than mFinishedRetention.
-  std::vector<JobId> ExpiredJobs(const Now& aNow) const;
+  std::vector<JobId> ExpiredJobs(const CurrentTime& aNow) const;
   // Removes jobs whose records were deleted from the store.
-  void Forget(const std::vector<JobId>& aJobs);
+  void RemoveJobs(const std::vector<JobId>& aJobs);
 
   // Adds the workers that an earlier scheduler's rack record names.
   void AddRecordedWorkers(const RackId& aRack, const std::vector<WorkerContact>& aWorkers);
-  void OnWorkerEntry(const WorkerEntry& aEntry, const Now& aNow);
+  void OnWorkerEntry(const WorkerEntry& aEntry, const CurrentTime& aNow);
   // The worker's registry entry was removed.
-  void OnWorkerUnlisted(const WorkerId& aWorker);
+  void OnWorkerUnregistered(const WorkerId& aWorker);
   // Must be called before each start order or lease renewal is sent, since the worker may extend
   // its lease even if no answer arrives.
-  void OnLeaseSent(const WorkerId& aWorker, const Now& aNow);
-  void OnHoldReport(const WorkerId& aWorker, const HoldReport& aReport, const Now& aNow);
+  void OnLeaseSent(const WorkerId& aWorker, const CurrentTime& aNow);
+  void OnLeaseReport(const WorkerId& aWorker, const LeaseReport& aReport, const CurrentTime& aNow);
   // Another incarnation of the worker answered, so the runs of the earlier one have ended.
-  void OnWorkerReplaced(const WorkerId& aWorker, const Now& aNow);
+  void OnWorkerReplaced(const WorkerId& aWorker, const CurrentTime& aNow);
   // The worker's address refused the connection, so its process isn't listening.
-  void OnWorkerRefused(const WorkerId& aWorker, const Now& aNow);
+  void OnWorkerRefused(const WorkerId& aWorker, const CurrentTime& aNow);
   void OnStartOutcome(const WorkerId& aWorker, const RunRef& aRun, OrderOutcome aOutcome,
-                      WorkerClock aClock, const Now& aNow);
+                      WorkerClock aClock, const CurrentTime& aNow);
   void OnStopOutcome(const WorkerId& aWorker, const RunRef& aRun, OrderOutcome aOutcome,
-                     WorkerClock aClock, const Now& aNow);
+                     WorkerClock aClock, const CurrentTime& aNow);
 
   // Decides which runs to start and stop, and returns the orders to send.
-  Orders Plan(const Now& aNow);
+  Orders Plan(const CurrentTime& aNow);
 
   // Returns what changed since the last call and has to be stored.
   ProgressBatch TakeProgress();
@@ -108,9 +108,9 @@
   // The former scheduler has ended, and the loaded progress names all runs that it may have
   // started. From then on only the tasks with such a run wait for its worker, or for the end of its
   // lease.
-  void OnHandedOver(const Now& aNow);
+  void OnHandedOver(const CurrentTime& aNow);
   // Whether tasks of inherited jobs may be started.
-  bool IsSettled() const { return mIsTakeoverSettled; }
+  bool IsTakeoverSettled() const { return mIsTakeoverSettled; }
 
 private:
   // The tasks of one step of one occurrence that are ready and wait for a worker.
@@ -145,77 +145,82 @@
   // Removes a run that no longer occupies resources from its worker and applies its end to its
   // task.
   void DropRun(Worker& aWorker, const RunRef& aRun, RunEnd aEnd, const std::string& aCheckpoint,
-               const Now& aNow);
+               const CurrentTime& aNow);
   // Applies the end of a run to its task and job. Does nothing if the end was processed before.
   void ApplyEnd(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd,
-                const std::string& aCheckpoint, const Now& aNow);
+                const std::string& aCheckpoint, const CurrentTime& aNow);
   // Counts a failed run as an attempt, and fails the job after the last one.
-  void ApplyFailure(Job& aJob, const RunRef& aRun, const WorkerId& aWorker, const Now& aNow);
-  // Counts a worker's failed runs in a row, and pauses new runs there if there are too many.
   void
-  UpdateWorkerFailures(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd, const Now& aNow);
+  ApplyFailure(Job& aJob, const RunRef& aRun, const WorkerId& aWorker, const CurrentTime& aNow);
+  // Counts a worker's failed runs in a row, and pauses new runs there if there are too many.
+  void UpdateWorkerFailures(const WorkerId& aWorker, const RunRef& aRun, RunEnd aEnd,
+                            const CurrentTime& aNow);
   void UpdateCheckpoint(Job& aJob, const TaskRef& aTask, const std::string& aCheckpoint);
   // The longest that a lease may last after a renewal, on this process's clock.
   Duration MaxLeaseDuration() const;
-  void DropAllRuns(Worker& aWorker, const Now& aNow);
+  void DropAllRuns(Worker& aWorker, const CurrentTime& aNow);
   // Updates runs and tasks from the worker's report of runs in progress.
-  void ReadRunning(Worker& aWorker, const HoldReport& aReport, const Now& aNow);
+  void ReadRunning(Worker& aWorker, const LeaseReport& aReport, const CurrentTime& aNow);
   // Removes runs that the worker doesn't report any more.
-  void CheckMissing(Worker& aWorker, const HoldReport& aReport, const Now& aNow);
+  void CheckMissing(Worker& aWorker, const LeaseReport& aReport, const CurrentTime& aNow);
   // Adds a reported run that this scheduler didn't know, which an earlier one has started.
-  void AdoptRun(Worker& aWorker, const RunningRun& aRun, WorkerClock aClock, const Now& aNow);
+  void
+  AdoptRun(Worker& aWorker, const RunningRun& aRun, WorkerClock aClock, const CurrentTime& aNow);
   // Whether the run is still the current one of its task and should go on.
-  bool IsWanted(const Worker& aWorker, const PlacedRun& aRun, const Now& aNow) const;
+  bool IsWanted(const Worker& aWorker, const PlacedRun& aRun, const CurrentTime& aNow) const;
   // Whether a member of the run's gang has no run in progress with the same number.
-  bool IsGangBroken(const Job& aJob, const PlacedRun& aRun, const Now& aNow) const;
+  bool IsGangBroken(const Job& aJob, const PlacedRun& aRun, const CurrentTime& aNow) const;
   // Whether a waiting task may have a run on the worker that stored progress names, because that
   // worker hasn't answered this scheduler yet.
-  bool MayRunUnreported(const Task& aTask, const Now& aNow) const;
+  bool MayRunUnreported(const Task& aTask, const CurrentTime& aNow) const;
   // Returns the record of a rack to store.
   RackWrite TakeRack(const RackId& aRack);
 
   // Removes the runs of workers whose lease has expired, and those workers that aren't registered.
-  void ExpireLeases(const Now& aNow);
+  void ExpireLeases(const CurrentTime& aNow);
   // Allows the start of inherited work once no earlier scheduler can still be obeyed.
-  void UpdateTakeoverSettled(const Now& aNow);
+  void UpdateTakeoverSettled(const CurrentTime& aNow);
   void SettleTakeover();
-  void StopUnwanted(const Now& aNow);
+  void StopUnwanted(const CurrentTime& aNow);
   // Stops the runs on draining workers that aren't expected to end before the worker leaves.
-  void EvacuateDrainingWorkers(const Now& aNow);
+  void EvacuateDrainingWorkers(const CurrentTime& aNow);
   void BeginStop(Worker& aWorker, PlacedRun& aRun);
   void StopRun(const WorkerId& aWorker, const RunRef& aRun);
   // Adds due stop orders, and start orders that had no answer, to the plan's orders.
-  void AddStopsAndRetries(const Now& aNow, Orders& aOrders);
+  void AddStopsAndRetries(const CurrentTime& aNow, Orders& aOrders);
   // Returns the steps that wait for workers, in the order in which they are placed.
-  std::vector<DueStep> DueSteps(const Now& aNow);
-  void AddDue(Job& aJob, bool aIsEntitled, const Now& aNow, std::vector<DueStep>& aDue) const;
+  std::vector<DueStep> DueSteps(const CurrentTime& aNow);
+  void
+  AddDue(Job& aJob, bool aIsEntitled, const CurrentTime& aNow, std::vector<DueStep>& aDue) const;
   // Returns the jobs of priority 0 that fit into their account's guarantee, oldest first.
   std::set<JobId> EntitledJobs() const;
   PlacementRequest RequestFor(const DueStep& aDue) const;
-  void PlaceDue(const DueStep& aDue, Placer& aPlacer, const Now& aNow, Orders& aOrders);
+  void PlaceDue(const DueStep& aDue, Placer& aPlacer, const CurrentTime& aNow, Orders& aOrders);
   // Starts the step on its reserved resources if they are free. Returns whether PlaceDue() is to do
   // nothing more for the step: it was started, or its reservation still waits for resources.
-  bool PlaceReserved(const DueStep& aDue, Placer& aPlacer, const Now& aNow, Orders& aOrders);
+  bool
+  PlaceReserved(const DueStep& aDue, Placer& aPlacer, const CurrentTime& aNow, Orders& aOrders);
   // Places a gang or a rack-local step.
   void PlaceTogether(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
-                     const Now& aNow, Orders& aOrders);
+                     const CurrentTime& aNow, Orders& aOrders);
   // Places independent tasks, as many as fit, and evicts runs for the rest.
-  void PlaceEach(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer, const Now& aNow,
-                 Orders& aOrders);
+  void PlaceEach(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
+                 const CurrentTime& aNow, Orders& aOrders);
   // For a gang that has waited for mGatherAfter, keeps other work off a set of workers that can
   // hold it, so that their resources accumulate until it fits.
   void GatherCapacity(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
-                      const Now& aNow);
+                      const CurrentTime& aNow);
   // Evicts runs so that the tasks of the request fit, and reserves the resources for the step.
   // Returns false if the job may not evict others or no set of runs frees enough.
-  bool
-  EvictFor(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer, const Now& aNow);
+  bool EvictFor(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
+                const CurrentTime& aNow);
   void StartTasks(const DueStep& aDue, const std::vector<WorkerId>& aWorkers, Placer& aPlacer,
-                  const Now& aNow, Orders& aOrders);
+                  const CurrentTime& aNow, Orders& aOrders);
   // Returns the cost of evicting a run for a step: the lost work, weighted by its resources.
   // Returns nullopt if the run must not be evicted for this step.
-  std::optional<double> CostOfStopping(const PlacedRun& aRun, const DueStep& aFor,
-                                       const std::set<JobId>& aEntitled, const Now& aNow) const;
+  std::optional<double>
+  CostOfStopping(const PlacedRun& aRun, const DueStep& aFor, const std::set<JobId>& aEntitled,
+                 const CurrentTime& aNow) const;
   StartOrder MakeStart(const WorkerId& aWorker, const RunRef& aRun) const;
 
   SchedulerSettings mSettings;
--- a/src/scheduler/SchedulerPlan.cpp
+++ b/src/scheduler/SchedulerPlan.cpp
@@ -35,7 +35,7 @@
 } // namespace
 
 Orders
-Scheduler::Plan(const Now& aNow)
+Scheduler::Plan(const CurrentTime& aNow)
 {
   Orders orders;
   ExpireLeases(aNow);
@@ -67,7 +67,7 @@
 }
 
 void
-Scheduler::ExpireLeases(const Now& aNow)
+Scheduler::ExpireLeases(const CurrentTime& aNow)
 {
   for (auto it = mFleet.begin(); it != mFleet.end();) {
     auto& worker = it->second;
@@ -88,7 +88,7 @@
 }
 
 void
-Scheduler::UpdateTakeoverSettled(const Now& aNow)
+Scheduler::UpdateTakeoverSettled(const CurrentTime& aNow)
 {
   const bool isOver = aNow.mSteady > mInheritedUntil;
   if (isOver) {
@@ -98,7 +98,7 @@
     return;
   }
   const bool allAnswered = std::all_of(mFleet.begin(), mFleet.end(), [](const auto& aIt) {
-    return aIt.second.mConfirmed || !(aIt.second.mRegistered || aIt.second.mRecorded);
+    return aIt.second.mHasAnswered || !(aIt.second.mRegistered || aIt.second.mRecorded);
   });
   if (allAnswered || isOver) {
     SettleTakeover();
@@ -106,7 +106,7 @@
 }
 
 void
-Scheduler::OnHandedOver(const Now& aNow)
+Scheduler::OnHandedOver(const CurrentTime& aNow)
 {
   mInheritedUntil = std::min(mInheritedUntil, aNow.mSteady + MaxLeaseDuration());
   for (auto& [id, worker] : mFleet) {
@@ -123,14 +123,14 @@
 }
 
 void
-Scheduler::EvacuateDrainingWorkers(const Now& aNow)
+Scheduler::EvacuateDrainingWorkers(const CurrentTime& aNow)
 {
   for (auto& [id, worker] : mFleet) {
     if (!worker.mEntry.mDraining) {
       continue;
     }
-    const auto remaining =
-      worker.mEntry.mRemaining.count() > 0 ? worker.mEntry.mRemaining : mSettings.mDrain;
+    const auto remaining = worker.mEntry.mRemainingTime.count() > 0 ? worker.mEntry.mRemainingTime
+                                                                    : mSettings.mMinDrainTime;
     const auto leavesAt = worker.mDrainingSince + remaining;
     for (auto& run : worker.mRuns) {
       const auto* job = FindJob(run.mRun.mTask.mJob);
@@ -148,7 +148,7 @@
 }
 
 void
-Scheduler::StopUnwanted(const Now& aNow)
+Scheduler::StopUnwanted(const CurrentTime& aNow)
 {
   for (auto& [id, worker] : mFleet) {
     for (auto& run : worker.mRuns) {
@@ -160,10 +160,10 @@
 }
 
 void
-Scheduler::AddStopsAndRetries(const Now& aNow, Orders& aOrders)
+Scheduler::AddStopsAndRetries(const CurrentTime& aNow, Orders& aOrders)
 {
   for (auto& [id, worker] : mFleet) {
-    if (!worker.mConfirmed) {
+    if (!worker.mHasAnswered) {
       continue;
     }
     for (auto& run : worker.mRuns) {
@@ -234,7 +234,8 @@
 }
 
 void
-Scheduler::AddDue(Job& aJob, bool aIsEntitled, const Now& aNow, std::vector<DueStep>& aDue) const
+Scheduler::AddDue(Job& aJob, bool aIsEntitled, const CurrentTime& aNow,
+                  std::vector<DueStep>& aDue) const
 {
   const auto objective = aJob.Objective();
   const auto allowedTime = objective - aJob.AcceptedAt();
@@ -270,7 +271,7 @@
 }
 
 std::vector<Scheduler::DueStep>
-Scheduler::DueSteps(const Now& aNow)
+Scheduler::DueSteps(const CurrentTime& aNow)
 {
   std::vector<DueStep> due;
   for (auto& [id, job] : mJobs) {
@@ -319,7 +320,7 @@
 }
 
 void
-Scheduler::PlaceDue(const DueStep& aDue, Placer& aPlacer, const Now& aNow, Orders& aOrders)
+Scheduler::PlaceDue(const DueStep& aDue, Placer& aPlacer, const CurrentTime& aNow, Orders& aOrders)
 {
   if (PlaceReserved(aDue, aPlacer, aNow, aOrders)) {
     return;
@@ -335,7 +336,8 @@
 }
 
 bool
-Scheduler::PlaceReserved(const DueStep& aDue, Placer& aPlacer, const Now& aNow, Orders& aOrders)
+Scheduler::PlaceReserved(const DueStep& aDue, Placer& aPlacer, const CurrentTime& aNow,
+                         Orders& aOrders)
 {
   const StepKey key{ aDue.mJob->Accepted().mId, aDue.mOccurrence, aDue.mStep };
   const auto it = mReservations.find(key);
@@ -364,7 +366,7 @@
 
 void
 Scheduler::PlaceTogether(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
-                         const Now& aNow, Orders& aOrders)
+                         const CurrentTime& aNow, Orders& aOrders)
 {
   // If the tasks wouldn't fit into any rack even with all its resources free, they are spread over
   // several racks instead of waiting forever.
@@ -390,7 +392,7 @@
 
 void
 Scheduler::PlaceEach(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
-                     const Now& aNow, Orders& aOrders)
+                     const CurrentTime& aNow, Orders& aOrders)
 {
   const auto workers = aPlacer.PlaceSome(aRequest);
   if (!workers.empty()) {
@@ -410,7 +412,7 @@
 
 std::optional<double>
 Scheduler::CostOfStopping(const PlacedRun& aRun, const DueStep& aFor,
-                          const std::set<JobId>& aEntitled, const Now& aNow) const
+                          const std::set<JobId>& aEntitled, const CurrentTime& aNow) const
 {
   const auto* victim = FindJob(aRun.mRun.mTask.mJob);
   if (!victim || victim == aFor.mJob) {
@@ -435,7 +437,7 @@
 
 void
 Scheduler::GatherCapacity(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
-                          const Now& aNow)
+                          const CurrentTime& aNow)
 {
   const auto ready = aDue.mJob->OpenOccurrences().at(aDue.mOccurrence).mReadySince[aDue.mStep];
   const bool isDue = aNow.mSteady - ready >= mSettings.mGatherAfter;
@@ -447,7 +449,7 @@
 
 bool
 Scheduler::EvictFor(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
-                    const Now& aNow)
+                    const CurrentTime& aNow)
 {
   if (aDue.mJob->Policy().mPriority != 0 || aDue.mClass == Worthless) {
     return false;
@@ -477,7 +479,7 @@
 
 void
 Scheduler::StartTasks(const DueStep& aDue, const std::vector<WorkerId>& aWorkers, Placer& aPlacer,
-                      const Now& aNow, Orders& aOrders)
+                      const CurrentTime& aNow, Orders& aOrders)
 {
   const auto& job = *aDue.mJob;
   const auto& spec = job.Spec(aDue.mStep);
--- a/src/scheduler/SchedulerReports.cpp
+++ b/src/scheduler/SchedulerReports.cpp
@@ -14,31 +14,32 @@
 } // namespace
 
 void
-Scheduler::OnHoldReport(const WorkerId& aWorker, const HoldReport& aReport, const Now& aNow)
+Scheduler::OnLeaseReport(const WorkerId& aWorker, const LeaseReport& aReport,
+                         const CurrentTime& aNow)
 {
   const auto it = mFleet.find(aWorker);
   if (it == mFleet.end()) {
     return;
   }
   auto& worker = it->second;
-  if (aReport.mBirth.Value() != 0 && aReport.mBirth != worker.mEntry.mBirth) {
-    if (worker.mEntry.mBirth.Value() != 0) {
+  if (aReport.mIncarnation.Value() != 0 && aReport.mIncarnation != worker.mEntry.mIncarnation) {
+    if (worker.mEntry.mIncarnation.Value() != 0) {
       OnWorkerReplaced(aWorker, aNow);
     }
-    worker.mEntry.mBirth = aReport.mBirth;
+    worker.mEntry.mIncarnation = aReport.mIncarnation;
     OnLeaseSent(aWorker, aNow);
   }
-  if (!worker.mConfirmed) {
+  if (!worker.mHasAnswered) {
     // From now on the worker rejects renewals of earlier schedulers, so its lease lasts no longer
     // than one renewal from now.
-    worker.mConfirmed = true;
+    worker.mHasAnswered = true;
     worker.mLeaseExpiry = std::min(worker.mLeaseExpiry, aNow.mSteady + MaxLeaseDuration());
   }
   for (const auto& ended : aReport.mFinished) {
-    if (ended.mNumber <= worker.mSeen) {
+    if (ended.mNumber <= worker.mLastProcessedEnd) {
       continue;
     }
-    worker.mSeen = ended.mNumber;
+    worker.mLastProcessedEnd = ended.mNumber;
     mHasUnstoredEnds = true;
     UpdateWorkerFailures(aWorker, ended.mRun, ended.mEnd, aNow);
     DropRun(worker, ended.mRun, ended.mEnd, ended.mCheckpoint, aNow);
@@ -48,7 +49,7 @@
 }
 
 void
-Scheduler::ReadRunning(Worker& aWorker, const HoldReport& aReport, const Now& aNow)
+Scheduler::ReadRunning(Worker& aWorker, const LeaseReport& aReport, const CurrentTime& aNow)
 {
   for (const auto& it : aReport.mRunning) {
     auto* placed = aWorker.Find(it.mRun);
@@ -76,7 +77,7 @@
 }
 
 void
-Scheduler::CheckMissing(Worker& aWorker, const HoldReport& aReport, const Now& aNow)
+Scheduler::CheckMissing(Worker& aWorker, const LeaseReport& aReport, const CurrentTime& aNow)
 {
   std::set<RunRef> reported;
   for (const auto& it : aReport.mRunning) {
@@ -97,14 +98,15 @@
           .With("worker", aWorker.mEntry.mId)
           .With("job", it.mRun.mTask.mJob)
           .With("run", it.mRun.mRun);
-        DropRun(aWorker, it.mRun, RunEnd::Lapsed, "", aNow);
+        DropRun(aWorker, it.mRun, RunEnd::LeaseExpired, "", aNow);
       }
     }
   }
 }
 
 void
-Scheduler::AdoptRun(Worker& aWorker, const RunningRun& aRun, WorkerClock aClock, const Now& aNow)
+Scheduler::AdoptRun(Worker& aWorker, const RunningRun& aRun, WorkerClock aClock,
+                    const CurrentTime& aNow)
 {
   PlacedRun placed;
   placed.mRun = aRun.mRun;
@@ -135,7 +137,7 @@
 
 void
 Scheduler::OnStartOutcome(const WorkerId& aWorker, const RunRef& aRun, OrderOutcome aOutcome,
-                          WorkerClock aClock, const Now& aNow)
+                          WorkerClock aClock, const CurrentTime& aNow)
 {
   const auto it = mFleet.find(aWorker);
   auto* placed = it == mFleet.end() ? nullptr : it->second.Find(aRun);
@@ -169,14 +171,14 @@
       }
       return;
     }
-    case OrderOutcome::NoRoom:
-      return refuse(mSettings.mNoRoomPause);
+    case OrderOutcome::InsufficientResources:
+      return refuse(mSettings.mInsufficientResourcesPause);
     case OrderOutcome::Unhealthy:
     case OrderOutcome::Invalid:
       return refuse(mSettings.mUnhealthyPause);
     case OrderOutcome::NotSent:
       if (!mayHaveStarted) {
-        return refuse(mSettings.mNoRoomPause);
+        return refuse(mSettings.mInsufficientResourcesPause);
       }
       break;
     case OrderOutcome::Superseded:
@@ -196,7 +198,8 @@
     case OrderOutcome::Unknown:
       break;
   }
-  worker.mAvoidUntil = std::max(worker.mAvoidUntil, aNow.mSteady + mSettings.mNoRoomPause);
+  worker.mAvoidUntil =
+    std::max(worker.mAvoidUntil, aNow.mSteady + mSettings.mInsufficientResourcesPause);
   if (++placed->mUnansweredStarts >= mSettings.mMaxUnansweredStarts &&
       placed->mPhase == RunPhase::Starting) {
     BeginStop(worker, *placed);
@@ -205,7 +208,7 @@
 
 void
 Scheduler::OnStopOutcome(const WorkerId& aWorker, const RunRef& aRun, OrderOutcome aOutcome,
-                         WorkerClock aClock, const Now& aNow)
+                         WorkerClock aClock, const CurrentTime& aNow)
 {
   const auto it = mFleet.find(aWorker);
   auto* placed = it == mFleet.end() ? nullptr : it->second.Find(aRun);
--- a/src/scheduler/SchedulerSettings.h
+++ b/src/scheduler/SchedulerSettings.h
@@ -8,12 +8,12 @@
 struct SchedulerSettings
 {
   // How long a worker's lease lasts after a renewal, on the worker's clock.
-  Duration mHold{ 6000 };
+  Duration mLeaseDuration{ 6000 };
   // By how many percent a worker's clock may run slower than this process's clock.
   int mClockDriftPercent = 2;
   // How long a scheduler may keep working without an answer from the store. A scheduler that takes
   // over assumes that the earlier one may renew worker leases for this long after the takeover.
-  Duration mAutonomy{ 7000 };
+  Duration mStoreOutageTolerance{ 7000 };
   // A start order without an answer is sent again after this time.
   Duration mResendStartAfter{ 100 };
   // After this many unanswered start orders, the run is stopped instead.
@@ -22,7 +22,7 @@
   Duration mResendStopAfter{ 500 };
   // How long a worker gets no new runs after it lacked the resources for a start, or after a start
   // order could not be sent or had no answer.
-  Duration mNoRoomPause{ 300 };
+  Duration mInsufficientResourcesPause{ 300 };
   // The same after it refused a start as unhealthy, or rejected it as invalid.
   Duration mUnhealthyPause{ 2000 };
   // The same after mFailingThreshold failed runs in a row.
@@ -31,7 +31,7 @@
   // see Worker::mConsecutiveFailures.
   int mFailingThreshold = 2;
   // How long a draining worker stays at least if it doesn't report its remaining time.
-  Duration mDrain{ 2000 };
+  Duration mMinDrainTime{ 2000 };
   // Once a gang has waited this long, the scheduler keeps resources free for it as they become
   // available (see Placer::Gather), for at most mMaxGatheringSteps gangs at once.
   Duration mGatherAfter{ 1000 };
@@ -39,7 +39,7 @@
   // How long resources stay reserved for a step for which other runs are being evicted.
   Duration mReservationDuration{ 1500 };
   // How long the records of a job are kept after its end.
-  Duration mKeepFinished{ 180000 };
+  Duration mFinishedRetention{ 180000 };
 };
 
 } // namespace lovagerock::scheduler
--- a/src/scheduler/WorkerReport.cpp
+++ b/src/scheduler/WorkerReport.cpp
@@ -14,7 +14,7 @@
       return "superseded";
     case OrderOutcome::TooLate:
       return "too_late";
-    case OrderOutcome::NoRoom:
+    case OrderOutcome::InsufficientResources:
       return "no_room";
     case OrderOutcome::Unhealthy:
       return "unhealthy";
@@ -40,11 +40,11 @@
       return "failed";
     case RunEnd::Stopped:
       return "stopped";
-    case RunEnd::Lapsed:
+    case RunEnd::LeaseExpired:
       return "lapsed";
-    case RunEnd::Broken:
+    case RunEnd::GangMemberEnded:
       return "broken";
-    case RunEnd::Alone:
+    case RunEnd::GangIncomplete:
       return "alone";
   }
   return "unknown";
--- a/src/scheduler/WorkerReport.h
+++ b/src/scheduler/WorkerReport.h
@@ -14,7 +14,7 @@
 
 // Identifies one incarnation of a worker: differs after each restart, and of two values the higher
 // one is taken as the later incarnation. 0 if the worker doesn't report it.
-using WorkerBirth = StrongCount<struct WorkerBirthTag>;
+using WorkerIncarnation = StrongCount<struct WorkerBirthTag>;
 // Milliseconds on a worker's own steady clock.
 using WorkerClock = StrongCount<struct WorkerClockTag>;
 
@@ -28,10 +28,10 @@
   RackId mRack;
   std::vector<std::string> mLabels;
   Capacity mCapacity;
-  WorkerBirth mBirth;
+  WorkerIncarnation mIncarnation;
   bool mDraining = false;
   // The minimum time until a draining worker leaves; 0 if it doesn't report it.
-  Duration mRemaining{ 0 };
+  Duration mRemainingTime{ 0 };
 };
 
 // How a run ended.
@@ -42,11 +42,11 @@
   Failed,
   Stopped,
   // The worker's lease expired.
-  Lapsed,
+  LeaseExpired,
   // The run was ended because another member of the gang ended.
-  Broken,
+  GangMemberEnded,
   // The run was ended because the other members of the gang didn't join in time.
-  Alone,
+  GangIncomplete,
 };
 
 // A run that a worker reports as in progress.
@@ -68,10 +68,10 @@
 };
 
 // A worker's answer to a lease renewal.
-struct HoldReport
+struct LeaseReport
 {
   WorkerClock mClock;
-  WorkerBirth mBirth;
+  WorkerIncarnation mIncarnation;
   std::vector<RunningRun> mRunning;
   std::vector<FinishedRun> mFinished;
 };
@@ -87,7 +87,7 @@
   // The order's deadline had passed on the worker's clock.
   TooLate,
   // The worker lacks the resources for the run.
-  NoRoom,
+  InsufficientResources,
   // The worker is unhealthy or overloaded and didn't carry out the order.
   Unhealthy,
   // The worker rejected the order as malformed or for a reason not listed here.
--- a/tests/control/LeaderTests.cpp
+++ b/tests/control/LeaderTests.cpp
@@ -45,7 +45,7 @@
 {
   LeaderFixture f;
   f.RunUntil([&] { return f.mCalls.mRenewalCalls.size() > 2; });
-  f.Submit("old", WallClockMs() - 2 * f.mSettings.mScheduler.mKeepFinished.count());
+  f.Submit("old", WallClockMs() - 2 * f.mSettings.mScheduler.mFinishedRetention.count());
   f.Submit("new");
   f.RunUntil([&] { return !f.mCalls.mStarts.empty(); });
   cr_assert_eq(f.mCalls.mStarts.size(), 1);
--- a/tests/control/StoreContactTests.cpp
+++ b/tests/control/StoreFreshnessTests.cpp
@@ -1,4 +1,4 @@
-#include "control/StoreContact.h"
+#include "control/StoreFreshness.h"
 
 #include <criterion/criterion.h>
 
@@ -7,9 +7,9 @@
 
 // Guards against refusing requests while the store has no changes and so answers each watch only
 // after its wait.
-Test(StoreContact, is_reachable_between_watch_answers_without_events)
+Test(StoreFreshness, is_reachable_between_watch_answers_without_events)
 {
-  StoreContact contact;
+  StoreFreshness contact;
   const Duration answer(10);
   contact.OnAnswer(Duration(0), kWatchWait + answer);
   const auto next = 2 * (kWatchWait + answer);
@@ -17,9 +17,9 @@
   cr_assert_eq(contact.Age(next), next);
 }
 
-Test(StoreContact, is_not_reachable_without_an_answer)
+Test(StoreFreshness, is_not_reachable_without_an_answer)
 {
-  StoreContact contact;
+  StoreFreshness contact;
   cr_assert_not(contact.IsReachable(Duration(5000)));
   contact.OnAnswer(Duration(5000), Duration(6000));
   cr_assert_not(contact.IsReachable(Duration(8000)));
--- a/tests/membership/MemberTableTests.cpp
+++ b/tests/membership/MemberTableTests.cpp
@@ -115,17 +115,17 @@
   MemberTable table(MakeMember("a", 1), {}, kStart);
   const auto peer = MakeMember("b", 2);
   table.RecordAnswer(peer, kStart, kStart);
-  cr_assert_not(table.IsUnsure());
+  cr_assert_not(table.IsViewUnconfirmed());
   const auto resumed = kStart + seconds(10);
   table.Advance(resumed);
-  cr_assert(table.IsUnsure());
+  cr_assert(table.IsViewUnconfirmed());
   table.RecordHeartbeat(peer, resumed);
   table.RecordAnswer(peer, kStart + seconds(1), resumed);
-  cr_assert(table.IsUnsure());
+  cr_assert(table.IsViewUnconfirmed());
   RunFor(table, resumed, 10);
-  cr_assert(table.IsUnsure());
+  cr_assert(table.IsViewUnconfirmed());
   table.RecordAnswer(peer, resumed + seconds(10), resumed + seconds(10));
-  cr_assert_not(table.IsUnsure());
+  cr_assert_not(table.IsViewUnconfirmed());
 }
 
 // Guards against a node that never becomes able to work while all others are down, and against one
@@ -134,12 +134,12 @@
 {
   MemberTable table(MakeMember("a", 1), {}, kStart);
   table.SetVmList({ MakeVm(2) }, kStart);
-  cr_assert(table.IsUnsure());
+  cr_assert(table.IsViewUnconfirmed());
   RunFor(table, kStart, 4);
-  cr_assert_not(table.IsUnsure());
+  cr_assert_not(table.IsViewUnconfirmed());
   MemberTable alone(MakeMember("a", 1), {}, kStart);
   alone.SetVmList({ MakeVm(1) }, kStart);
-  cr_assert_not(alone.IsUnsure());
+  cr_assert_not(alone.IsViewUnconfirmed());
 }
 
 // Guards against keys of other nodes that move when one node leaves, and against an uneven
--- a/tests/membership/MembershipTests.cpp
+++ b/tests/membership/MembershipTests.cpp
@@ -98,7 +98,8 @@
   {
     WaitUntil([&] {
       return mFirst->Sees("b", MemberState::Live) && mSecond->Sees("a", MemberState::Live) &&
-             !mFirst->mMembership->IsUnsure() && !mSecond->mMembership->IsUnsure();
+             !mFirst->mMembership->IsViewUnconfirmed() &&
+             !mSecond->mMembership->IsViewUnconfirmed();
     });
   }
 };
@@ -173,8 +174,8 @@
   Fixture f;
   f.WaitUntilJoined();
   std::this_thread::sleep_for(ShortTimes().mLiveTimeout + Duration(50));
-  cr_assert(f.mFirst->mMembership->IsUnsure());
-  f.WaitUntil([&] { return !f.mFirst->mMembership->IsUnsure(); });
+  cr_assert(f.mFirst->mMembership->IsViewUnconfirmed());
+  f.WaitUntil([&] { return !f.mFirst->mMembership->IsViewUnconfirmed(); });
 }
 
 // Guards against a malformed heartbeat that changes the members or stops the node.
--- a/tests/membership/SharedVmListTests.cpp
+++ b/tests/membership/SharedVmListTests.cpp
@@ -264,12 +264,13 @@
   const std::vector<NodeId> nodes{ kReader, NodeId("b"), NodeId("c"), NodeId("d") };
   std::set<NodeId> readers;
   for (int i = 0; i < 200; ++i) {
-    readers.insert(ListReaderOf(region, nodes, Clock::time_point(std::chrono::minutes(10 * i))));
+    readers.insert(
+      SelectListReader(region, nodes, Clock::time_point(std::chrono::minutes(10 * i))));
   }
   cr_assert_eq(readers.size(), 3);
   cr_assert_not(readers.contains(RendezvousOwner("planner/east", nodes)));
-  cr_assert_eq(ListReaderOf(region, { kReader }, {}), kReader);
-  cr_assert(ListReaderOf(region, {}, {}).IsEmpty());
+  cr_assert_eq(SelectListReader(region, { kReader }, {}), kReader);
+  cr_assert(SelectListReader(region, {}, {}).IsEmpty());
 }
 
 // Guards against accepting late updates, updates after a gap and those of other nodes, and against
--- a/tests/placement/InvariantTests.cpp
+++ b/tests/placement/InvariantTests.cpp
@@ -57,7 +57,8 @@
     fake.AddAccount("a3").mWeight = 3;
     fake.mSnapshot.mServices.push_back(
       { ServiceId("s"), AccountId("a3"), 6, Accelerators(1), random.Below(2) == 0 });
-    cr_assert_not(CanPackAll(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts).has_value());
+    cr_assert_not(
+      FindUnpackableGuarantee(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts).has_value());
     for (int i = 0; i < 40; ++i) {
       RandomStep(fake, random);
     }
--- a/tests/placement/PlannerTests.cpp
+++ b/tests/placement/PlannerTests.cpp
@@ -17,9 +17,10 @@
   ClusterFake fake(16);
   fake.AddAccount("a", { RackGuarantee(8) });
   fake.AddAccount("b", { RackGuarantee(5) });
-  cr_assert_not(CanPackAll(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts).has_value());
+  cr_assert_not(
+    FindUnpackableGuarantee(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts).has_value());
   fake.AddAccount("c", { RackGuarantee(4) });
-  const auto error = CanPackAll(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts);
+  const auto error = FindUnpackableGuarantee(fake.mSnapshot.mWorkers, fake.mSnapshot.mAccounts);
   cr_assert(error.has_value());
   cr_assert_eq(error->mAccount, AccountId("c"));
 }
--- a/tests/placement/ReplayTests.cpp
+++ b/tests/placement/ReplayTests.cpp
@@ -41,8 +41,8 @@
   job.mPending.mResourcesPerTask = { Slots(1), Accelerators(8), Cores(1), MemoryMiB(100) };
   job.mPending.mIdempotent = true;
   job.mCancelledAt.reset();
-  job.mRun = std::chrono::seconds(100);
-  job.mCheckpoint = aCheckpoint;
+  job.mRunTime = std::chrono::seconds(100);
+  job.mCheckpointPeriod = aCheckpoint;
   const auto add = [&](const char* aName, int aAt) {
     job.mPending.mJob = JobId(std::string(aName) + "-0");
     job.mPending.mAccount = AccountId(aName);
@@ -94,8 +94,8 @@
     const auto trace = BorrowedWorker(aCheckpoint);
     const auto run = RunTrace(trace, ComputePlan, true);
     cr_assert_eq(run.mJobs[0].mReclaims, 1);
-    cr_assert_eq(run.mGuaranteeDelays.size(), 1);
-    cr_assert(run.mGuaranteeDelays.front() == kStopTime + kStartTime);
+    cr_assert_eq(run.mGuaranteeStartDelays.size(), 1);
+    cr_assert(run.mGuaranteeStartDelays.front() == kStopTime + kStartTime);
     return std::chrono::duration_cast<Duration>(run.mJobs[0].mEnded->time_since_epoch());
   };
   const Duration ownerEnd = std::chrono::seconds(150) + kStopTime + kStartTime;
--- a/tests/platform/FormatTests.cpp
+++ b/tests/platform/FormatTests.cpp
@@ -24,7 +24,7 @@
   cr_assert_eq(entry->mId, WorkerId("i-1"));
   cr_assert_eq(entry->mRack, RackId("r1-3"));
   cr_assert_eq(entry->mCapacity.mAccelerators, Accelerators(8));
-  cr_assert_eq(entry->mBirth.Value(), 1700000000000);
+  cr_assert_eq(entry->mIncarnation.Value(), 1700000000000);
   cr_assert_not(entry->mDraining);
 }
 
--- a/tests/scheduler/FailureTests.cpp
+++ b/tests/scheduler/FailureTests.cpp
@@ -37,7 +37,7 @@
   f.Submit(f.Job("j", { f.Gang(3, 8) }));
   const auto first = f.Plan();
   f.EndRun(first.mStarts[0].mRun, RunEnd::Failed);
-  f.EndRun(first.mStarts[1].mRun, RunEnd::Broken);
+  f.EndRun(first.mStarts[1].mRun, RunEnd::GangMemberEnded);
   f.RenewAllLeases();
   cr_assert(f.Plan().mStarts.empty(),
             "the gang was started while a member of its first run was still running");
@@ -120,8 +120,8 @@
                                f.mNow);
   f.mNow.mSteady += f.mSettings.mResendStartAfter;
   cr_assert_eq(f.mScheduler->Plan(f.mNow).mStarts.size(), 1);
-  f.mScheduler->OnStartOutcome(first.mWorker, first.mRun, OrderOutcome::NoRoom, WorkerClock(),
-                               f.mNow);
+  f.mScheduler->OnStartOutcome(first.mWorker, first.mRun, OrderOutcome::InsufficientResources,
+                               WorkerClock(), f.mNow);
   const auto orders = f.Plan();
   cr_assert(orders.mStarts.empty());
   cr_assert_eq(orders.mStops.size(), 1);
@@ -138,7 +138,7 @@
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   const auto first = f.Plan().mStarts.at(0);
   f.mWorkers.at(first.mWorker).mIsReachable = false;
-  f.AdvanceTime(f.mSettings.mHold);
+  f.AdvanceTime(f.mSettings.mLeaseDuration);
   cr_assert(f.Plan().mStarts.empty(),
             "the task was restarted although the worker's lease may not have expired");
   f.AdvanceTime(Duration(500));
@@ -156,7 +156,7 @@
   const auto first = f.Plan().mStarts.at(0);
   auto& worker = f.mWorkers.at(first.mWorker);
   worker.mRunning.clear();
-  worker.mEntry.mBirth = WorkerBirth(200);
+  worker.mEntry.mIncarnation = WorkerIncarnation(200);
   worker.mNumber = 0;
   f.RenewLease(first.mWorker);
   const auto second = f.Plan();
@@ -191,7 +191,7 @@
   const auto first = f.Plan().mStarts.at(0);
   auto& worker = f.mWorkers.at(first.mWorker);
   worker.mEntry.mDraining = true;
-  worker.mEntry.mRemaining = Duration(9000);
+  worker.mEntry.mRemainingTime = Duration(9000);
   f.mScheduler->OnWorkerEntry(worker.mEntry, f.mNow);
   cr_assert(f.Plan().mStops.empty());
 }
--- a/tests/scheduler/SchedulerFixture.h
+++ b/tests/scheduler/SchedulerFixture.h
@@ -46,7 +46,7 @@
       worker.mEntry.mRack = RackId("r" + std::to_string(mWorkers.size() / 2));
       worker.mEntry.mLabels = { "a", worker.mEntry.mRack.Value() };
       worker.mEntry.mCapacity = { MilliCores(128000), MemoryMiB(262144), Accelerators(8) };
-      worker.mEntry.mBirth = WorkerBirth(100);
+      worker.mEntry.mIncarnation = WorkerIncarnation(100);
       mWorkers[worker.mEntry.mId] = worker;
       mScheduler->OnWorkerEntry(worker.mEntry, mNow);
       RenewLease(worker.mEntry.mId);
@@ -162,10 +162,10 @@
       return;
     }
     mScheduler->OnLeaseSent(aWorker, mNow);
-    mScheduler->OnHoldReport(
-      aWorker,
-      { WorkerClock(++worker.mClock), worker.mEntry.mBirth, worker.mRunning, worker.mFinished },
-      mNow);
+    mScheduler->OnLeaseReport(aWorker,
+                              { WorkerClock(++worker.mClock), worker.mEntry.mIncarnation,
+                                worker.mRunning, worker.mFinished },
+                              mNow);
   }
 
   void RenewAllLeases()
@@ -231,7 +231,7 @@
   }
 
   SchedulerSettings mSettings;
-  Now mNow{ TimePoint() + std::chrono::hours(1), 1'700'000'000'000 };
+  CurrentTime mNow{ TimePoint() + std::chrono::hours(1), 1'700'000'000'000 };
   std::unique_ptr<Scheduler> mScheduler;
   std::map<WorkerId, FakeWorker> mWorkers;
   std::vector<AcceptedJob> mJobs;
--- a/tests/scheduler/TakeoverTests.cpp
+++ b/tests/scheduler/TakeoverTests.cpp
@@ -44,7 +44,7 @@
   const auto first = f.Plan().mStarts.at(0);
   f.mWorkers.at(first.mWorker).mIsReachable = false;
   f.TakeOver({});
-  f.AdvanceTime(f.mSettings.mAutonomy + f.mSettings.mHold);
+  f.AdvanceTime(f.mSettings.mStoreOutageTolerance + f.mSettings.mLeaseDuration);
   cr_assert(f.Plan().mStarts.empty());
   f.AdvanceTime(Duration(500));
   cr_assert_eq(f.Plan().mStarts.size(), 1);
@@ -135,13 +135,13 @@
   f.EndRun(f.Plan().mStarts.at(0).mRun, RunEnd::Done);
   f.RenewAllLeases();
   const auto& worker = f.mScheduler->Workers().at(WorkerId("w0"));
-  cr_assert_eq(worker.mSeen, 1);
+  cr_assert_eq(worker.mLastProcessedEnd, 1);
   const auto batch = f.mScheduler->TakeProgress();
   f.mScheduler->OnNotStored(batch);
-  cr_assert_eq(worker.mStored, 0);
+  cr_assert_eq(worker.mLastStoredEnd, 0);
   cr_assert(f.mScheduler->HasProgress());
   f.StoreProgress();
-  cr_assert_eq(worker.mStored, 1);
+  cr_assert_eq(worker.mLastStoredEnd, 1);
 }
 
 // Guards against an end of a run that is ignored because this scheduler's clock is behind the clock
@@ -173,11 +173,11 @@
   f.RenewAllLeases();
   f.StoreProgress();
   cr_assert(f.mScheduler->ExpiredJobs(f.mNow).empty());
-  f.mNow.mWallMs += f.mSettings.mKeepFinished.count() + 1;
+  f.mNow.mWallMs += f.mSettings.mFinishedRetention.count() + 1;
   const auto expired = f.mScheduler->ExpiredJobs(f.mNow);
   cr_assert_eq(expired, std::vector{ JobId("j") });
   cr_assert_not_null(f.mScheduler->FindJob(JobId("j")));
-  f.mScheduler->Forget(expired);
+  f.mScheduler->RemoveJobs(expired);
   cr_assert_null(f.mScheduler->FindJob(JobId("j")));
 }
 
@@ -193,7 +193,7 @@
   const auto batch = f.mScheduler->TakeProgress();
   f.mScheduler->OnWorkerReplaced(WorkerId("w0"), f.mNow);
   f.mScheduler->OnStored(batch);
-  cr_assert_eq(f.mScheduler->Workers().at(WorkerId("w0")).mStored, 0);
+  cr_assert_eq(f.mScheduler->Workers().at(WorkerId("w0")).mLastStoredEnd, 0);
 }
 
 Test(JobRecord, round_trips_a_job_and_its_progress)
@@ -249,7 +249,7 @@
 {
   SchedulerFixture f;
   f.AddWorkers(2);
-  f.mScheduler->OnWorkerUnlisted(WorkerId("w0"));
+  f.mScheduler->OnWorkerUnregistered(WorkerId("w0"));
   f.mWorkers.erase(WorkerId("w0"));
   f.StoreProgress();
   f.Submit(f.Job("j", { f.Step(1, 1) }));
@@ -264,7 +264,7 @@
 {
   SchedulerFixture f;
   f.AddWorkers(1);
-  f.mScheduler->OnWorkerUnlisted(WorkerId("w0"));
+  f.mScheduler->OnWorkerUnregistered(WorkerId("w0"));
   f.StoreProgress();
   f.mScheduler->OnWorkerEntry(f.mWorkers.at(WorkerId("w0")).mEntry, f.mNow);
   f.Submit(f.Job("j", { f.Step(1, 1) }));
@@ -282,7 +282,7 @@
   f.Submit(f.Job("j", { f.Step(1, 1) }));
   const auto first = f.Plan().mStarts.at(0);
   f.Submit(f.Job("other", { f.Step(1, 1) }));
-  f.mScheduler->OnWorkerUnlisted(first.mWorker);
+  f.mScheduler->OnWorkerUnregistered(first.mWorker);
   const auto progress = f.StoreProgress();
   f.mWorkers.erase(first.mWorker);
   f.TakeOver(progress);
@@ -290,7 +290,7 @@
   const auto starts = f.Plan().mStarts;
   cr_assert_eq(starts.size(), 1);
   cr_assert(starts[0].mRun.mTask.mJob == JobId("other"));
-  f.AdvanceTime(f.mSettings.mAutonomy + f.mSettings.mHold + Duration(500));
+  f.AdvanceTime(f.mSettings.mStoreOutageTolerance + f.mSettings.mLeaseDuration + Duration(500));
   cr_assert_eq(f.Plan().mStarts.size(), 1);
 }
 
@@ -329,7 +329,7 @@
   const auto starts = f.Plan().mStarts;
   cr_assert_eq(starts.size(), 1);
   cr_assert_eq(starts[0].mRun.mTask.mJob, JobId("waiting"));
-  f.AdvanceTime(f.mSettings.mHold - Duration(500));
+  f.AdvanceTime(f.mSettings.mLeaseDuration - Duration(500));
   cr_assert(f.Plan().mStarts.empty());
   f.AdvanceTime(Duration(1000));
   cr_assert_eq(f.Plan().mStarts.size(), 1);
