--- a/src/routing/AdmissionQueue.cpp
+++ b/src/routing/AdmissionQueue.cpp
@@ -5,20 +5,20 @@
 namespace lovagerock::routing {
 
 bool
-AdmissionQueue::Push(const QueueSlot& aSlot, RequestNumber aRequest, double aWeight,
+AdmissionQueue::Push(const QueueKey& aKey, RequestNumber aRequest, double aWeight,
                      std::size_t aLimit)
 {
-  auto& service = mServices[aSlot.mService];
-  auto& account = service.mAccounts[aSlot.mAccount];
+  auto& service = mServices[aKey.mService];
+  auto& account = service.mAccounts[aKey.mAccount];
   if (account.Length() >= aLimit) {
     return false;
   }
   if (account.Length() == 0) {
-    // An account that was idle doesn't save up its unused share.
+    // An account gets no credit for the share that it didn't use while its queue was empty.
     account.mVirtualTime = std::max(account.mVirtualTime, service.mVirtualTime);
   }
   account.mWeight = aWeight > 0 ? aWeight : 1;
-  account.mRequests[aSlot.mIdempotent ? 1 : 0].insert(aRequest);
+  account.mRequests[aKey.mIdempotent ? 1 : 0].insert(aRequest);
   ++mLength;
   return true;
 }
@@ -65,15 +65,15 @@
 }
 
 void
-AdmissionQueue::Remove(const QueueSlot& aSlot, RequestNumber aRequest)
+AdmissionQueue::Remove(const QueueKey& aKey, RequestNumber aRequest)
 {
-  const auto service = mServices.find(aSlot.mService);
+  const auto service = mServices.find(aKey.mService);
   if (service == mServices.end()) {
     return;
   }
-  const auto account = service->second.mAccounts.find(aSlot.mAccount);
+  const auto account = service->second.mAccounts.find(aKey.mAccount);
   if (account != service->second.mAccounts.end()) {
-    mLength -= account->second.mRequests[aSlot.mIdempotent ? 1 : 0].erase(aRequest);
+    mLength -= account->second.mRequests[aKey.mIdempotent ? 1 : 0].erase(aRequest);
   }
 }
 
@@ -102,22 +102,22 @@
 }
 
 double
-AdmissionQueue::Ahead(const QueueSlot& aSlot) const
+AdmissionQueue::RequestsAhead(const QueueKey& aKey) const
 {
-  const auto service = mServices.find(aSlot.mService);
+  const auto service = mServices.find(aKey.mService);
   if (service == mServices.end()) {
     return 0;
   }
   const auto& accounts = service->second.mAccounts;
-  const auto own = accounts.find(aSlot.mAccount);
-  const std::size_t kind = aSlot.mIdempotent ? 1 : 0;
+  const auto own = accounts.find(aKey.mAccount);
+  const std::size_t kind = aKey.mIdempotent ? 1 : 0;
   if (own == accounts.end() || own->second.mRequests[kind].empty()) {
     return 0;
   }
   const auto length = static_cast<double>(own->second.mRequests[kind].size());
   double ahead = length - 1;
   for (const auto& [id, account] : accounts) {
-    if (id != aSlot.mAccount) {
+    if (id != aKey.mAccount) {
       const double share = length * account.mWeight / own->second.mWeight;
       ahead += std::min(share, static_cast<double>(account.mRequests[kind].size()));
     }
--- a/src/routing/AdmissionQueue.h
+++ b/src/routing/AdmissionQueue.h
@@ -13,46 +13,49 @@
 
 namespace lovagerock::routing {
 
-// Identifies a request inside the node; grows with each request.
+// Identifies a request within the process. Increases with each request.
 using RequestNumber = std::uint64_t;
 
-// Where a request waits.
-struct QueueSlot
+// Identifies the queue that a request waits in.
+struct QueueKey
 {
   AccountId mAccount;
   ServiceId mService;
   bool mIdempotent = true;
 };
 
-// Bounded queues per account and service. Accounts share each service by weight (start-time fair
-// queueing), so that a long queue of one account doesn't delay another. Idempotent and
-// non-idempotent requests wait apart, because they need different replicas. Belongs to its loop.
+// Bounded queues per client account and service. Accounts share each service by weight (start-time
+// fair queueing), so that a long queue of one account doesn't delay another. Idempotent and
+// non-idempotent requests are queued separately, because non-idempotent ones may not use
+// reclaimable replicas. Not thread-safe.
 class AdmissionQueue
 {
 public:
-  // Queues a request. False if the account's queue for the service holds aLimit requests.
-  bool Push(const QueueSlot& aSlot, RequestNumber aRequest, double aWeight, std::size_t aLimit);
-  // Takes out the next request of the service; aCanServe tells whether a replica is free for an
-  // idempotent or a non-idempotent request.
+  // Queues a request. Returns false if the account already has aLimit requests queued for the
+  // service.
+  bool Push(const QueueKey& aKey, RequestNumber aRequest, double aWeight, std::size_t aLimit);
+  // Removes and returns the next request of the service; nothing if none can be served. aCanServe
+  // returns whether a replica is free for an idempotent or a non-idempotent request.
   std::optional<RequestNumber>
   Pop(const ServiceId& aService, const std::function<bool(bool aIdempotent)>& aCanServe);
-  // Takes out a request that no longer waits, such as one whose deadline passed.
-  void Remove(const QueueSlot& aSlot, RequestNumber aRequest);
-  // The services with waiting requests.
+  // Removes a request that must not be dispatched any more, such as one whose deadline has passed.
+  void Remove(const QueueKey& aKey, RequestNumber aRequest);
+  // Returns the services with queued requests.
   std::vector<ServiceId> Services() const;
   std::size_t Length(const AccountId& aAccount, const ServiceId& aService) const;
-  // How many requests of the kind are served before the last one of the account: its own, and of
-  // each other account no more than its share in the meantime.
-  double Ahead(const QueueSlot& aSlot) const;
+  // Returns the estimated number of requests that are served before the last one in the queue aKey:
+  // the account's own, and of each other account at most its weighted share in that time. Counts
+  // only requests that are idempotent if, and only if, those in aKey are.
+  double RequestsAhead(const QueueKey& aKey) const;
   std::size_t Length() const { return mLength; }
 
 private:
   struct AccountQueue
   {
-    // In order of arrival; index 0 holds the non-idempotent requests. A retry has its old number
-    // and therefore goes first.
+    // In order of arrival; index 0 holds the non-idempotent requests, index 1 the idempotent ones.
+    // A retried request keeps its number and so precedes later arrivals.
     std::array<std::set<RequestNumber>, 2> mRequests;
-    // Share of the service received so far, over the weight.
+    // Requests dispatched so far, divided by the weight (the start tag of the next request).
     double mVirtualTime = 0;
     double mWeight = 1;
 
--- a/src/routing/Claim.cpp
+++ b/src/routing/Claim.cpp
@@ -38,8 +38,8 @@
   if (aClaim.mState == ClaimState::Done) {
     json["status"] = aClaim.mStatus;
     json["digest"] = aClaim.mDigest;
-    if (aClaim.mAnswer) {
-      json["answer"] = *aClaim.mAnswer;
+    if (aClaim.mFinalResponse) {
+      json["answer"] = *aClaim.mFinalResponse;
     }
   }
   std::string value;
@@ -69,7 +69,7 @@
   claim.mDigest = JsonValue<std::string>(json, "digest", "");
   const auto answer = json.find("answer");
   if (answer != json.end()) {
-    claim.mAnswer = answer->get<FinalAnswer>();
+    claim.mFinalResponse = answer->get<FinalResponse>();
   }
   return claim;
 }
--- a/src/routing/Claim.h
+++ b/src/routing/Claim.h
@@ -2,7 +2,7 @@
 
 #include "base/Ids.h"
 #include "base/SocketAddress.h"
-#include "routing/FinalAnswer.h"
+#include "routing/FinalResponse.h"
 
 #include <cstdint>
 #include <optional>
@@ -11,47 +11,49 @@
 
 namespace lovagerock::routing {
 
-// Where a claim stands.
+// The state of a claim.
 enum class ClaimState
 {
-  // The holder may send the request or has sent it.
+  // The holder may send the request to a worker, or has sent it.
   Claimed,
   // The request was not run; the key may be claimed again.
   Released,
-  // The request has its final outcome and is never run again.
+  // The request has its final outcome and must not be run again.
   Done,
 };
 
-// The record in the key-value service that lets one node send a keyed non-idempotent request.
+// The record in the key-value service that gives one node the right to send a non-idempotent
+// request with an idempotency key to a worker.
 struct Claim
 {
   ClaimState mState = ClaimState::Claimed;
-  // Unique for each attempt to claim a key.
+  // Unique for each attempt to acquire a claim.
   std::string mToken;
   NodeId mNode;
-  // Differs after each restart of the holder.
+  // Identifies the process of the holder; changes with each restart.
   std::string mIncarnation;
-  // Where the holder answers peer calls.
+  // Address at which the holder accepts calls from other nodes.
   SocketAddress mPeer;
   RequestId mRequest;
-  // Digest of service and body; tells a retry from another request with the same key.
+  // SHA-256 of service and body. Distinguishes a retry from a different request with the same key.
   std::string mFingerprint;
-  // Milliseconds since 1970; claims are deleted 24 h after it.
+  // Milliseconds since the Unix epoch. Claims are deleted 24 h after this time.
   std::int64_t mCreatedMs = 0;
-  // Once done: the answer's status and the SHA-256 of its body.
+  // In state Done: the HTTP status of the response, and the SHA-256 of its body, empty if the
+  // holder didn't retain the whole body.
   int mStatus = 0;
   std::string mDigest;
-  // Once done: the whole answer, if its body has at most kMaxRecordedAnswer bytes.
-  std::optional<FinalAnswer> mAnswer;
+  // In state Done: the whole response, if its body has at most kMaxRecordedBodyBytes bytes.
+  std::optional<FinalResponse> mFinalResponse;
 };
 
-// Larger answers would make the claims too large for the key-value service.
-inline constexpr std::size_t kMaxRecordedAnswer = 16 * 1024;
+// Larger response bodies would make the claims too large for the key-value service.
+inline constexpr std::size_t kMaxRecordedBodyBytes = 16 * 1024;
 
-// The value of a claim's key, in CBOR.
+// Encodes a claim in CBOR, as the value of its key.
 std::string
 WriteClaim(const Claim& aClaim);
-// Nothing if the value isn't a claim.
+// Decodes a claim. Returns nothing if the value isn't a claim.
 std::optional<Claim>
 ReadClaim(std::string_view aValue);
 
--- a/src/routing/ClaimBatcher.h
+++ b/src/routing/ClaimBatcher.h
@@ -15,16 +15,16 @@
 enum class WriteOutcome
 {
   Applied,
-  // The key had another version; nothing was written.
+  // The key's version differed from the expected one; nothing was written.
   Conflict,
-  // Nothing was written.
+  // The store was unavailable or limited the rate; nothing was written.
   Unavailable,
-  // The write may have taken effect.
+  // The result of the write is unknown; it may have taken effect.
   Unknown,
 };
 
-// Collects the writes of up to 3 ms into one transaction, so that several hundred writes a second
-// carry thousands of claims. Belongs to its loop.
+// Batches the claim writes of up to 3 ms into one transaction, so that several hundred transactions
+// per second are enough for thousands of claims. Not thread-safe: use it only on its event loop.
 template<kv::KeyValueStore Store>
 class ClaimBatcher
 {
@@ -37,31 +37,32 @@
   {
   }
 
-  // Queues a compare-and-swap. The callback never runs inside the call.
+  // Queues a compare-and-swap operation. Never runs the callback before it returns.
   void Write(kv::Operation aOperation, Callback aCallback)
   {
     // Two operations on one key in one transaction would fail together.
-    if (std::any_of(mPending.begin(), mPending.end(),
-                    [&](const Item& aItem) { return aItem.mOperation.mKey == aOperation.mKey; })) {
+    if (std::any_of(mPending.begin(), mPending.end(), [&](const PendingWrite& aItem) {
+          return aItem.mOperation.mKey == aOperation.mKey;
+        })) {
       Flush();
     }
     mPending.push_back({ std::move(aOperation), std::move(aCallback) });
     if (mPending.size() >= kv::kMaxOperations) {
       Flush();
     } else if (!mTimer.IsPending()) {
-      mTimer = mLoop.After(kWindow, [this] { Flush(); });
+      mTimer = mLoop.After(kBatchWindow, [this] { Flush(); });
     }
   }
 
 private:
-  struct Item
+  struct PendingWrite
   {
     kv::Operation mOperation;
     Callback mCallback;
   };
-  using Items = std::vector<Item>;
+  using PendingWrites = std::vector<PendingWrite>;
 
-  static constexpr Duration kWindow{ 3 };
+  static constexpr Duration kBatchWindow{ 3 };
 
   void Flush()
   {
@@ -71,14 +72,14 @@
     }
   }
 
-  void Send(Items aItems, bool aMayBatchAgain)
+  void Send(PendingWrites aItems, bool aMayBatchAgain)
   {
     std::vector<kv::Operation> operations;
     operations.reserve(aItems.size());
     for (const auto& it : aItems) {
       operations.push_back(it.mOperation);
     }
-    const auto items = std::make_shared<Items>(std::move(aItems));
+    const auto items = std::make_shared<PendingWrites>(std::move(aItems));
     mStore.Transact(std::move(operations),
                     [this, items, aMayBatchAgain, alive = std::weak_ptr<int>(mAlive)](
                       std::error_code aError, const kv::TransactionResult& aResult) {
@@ -88,7 +89,7 @@
                     });
   }
 
-  void OnResult(Items& aItems, std::error_code aError, const kv::TransactionResult& aResult,
+  void OnResult(PendingWrites& aItems, std::error_code aError, const kv::TransactionResult& aResult,
                 bool aMayBatchAgain)
   {
     if (aError) {
@@ -107,12 +108,13 @@
       }
       return;
     }
-    SendRest(aItems, aResult, aMayBatchAgain);
+    ResendRemaining(aItems, aResult, aMayBatchAgain);
   }
 
-  // The transaction was rolled back as a whole: the operations that didn't cause it go out again,
-  // once together and after that one by one.
-  void SendRest(Items& aItems, const kv::TransactionResult& aResult, bool aMayBatchAgain)
+  // Reports a conflict for the operations that made the transaction roll back, and sends the others
+  // again: once as a batch, and one by one if that fails too or no operation is named as the cause.
+  void
+  ResendRemaining(PendingWrites& aItems, const kv::TransactionResult& aResult, bool aMayBatchAgain)
   {
     std::vector<bool> failed(aItems.size(), aItems.size() == 1);
     for (const auto it : aResult.mFailed) {
@@ -120,7 +122,7 @@
         failed[it] = true;
       }
     }
-    Items rest;
+    PendingWrites rest;
     for (std::size_t i = 0; i < aItems.size(); ++i) {
       if (failed[i]) {
         aItems[i].mCallback(WriteOutcome::Conflict, 0);
@@ -133,7 +135,7 @@
       return;
     }
     for (auto& it : rest) {
-      Items single;
+      PendingWrites single;
       single.push_back(std::move(it));
       Send(std::move(single), false);
     }
@@ -141,7 +143,7 @@
 
   EventLoop& mLoop;
   Store& mStore;
-  Items mPending;
+  PendingWrites mPending;
   Timer mTimer;
   std::shared_ptr<int> mAlive = std::make_shared<int>();
 };
--- a/src/routing/ClaimResolver.h
+++ b/src/routing/ClaimResolver.h
@@ -10,52 +10,52 @@
 
 namespace lovagerock::routing {
 
-// What the holder of a claim says about its request.
-enum class HolderAnswer
+// What the holder of a claim reports about the claim's request.
+enum class HolderStatus
 {
-  // The request has ended and its whole answer is given.
+  // The request has ended; its whole response is included.
   Done,
   InProgress,
   // The request was not run and the claim is recorded as released.
   Released,
-  // The holder doesn't know the request, for instance because it was restarted.
+  // The holder has no record of the request, for instance because it was restarted.
   Unknown,
-  // The holder gave no answer.
+  // The holder did not reply.
   Unreachable,
 };
 
-// The name used in logs.
+// Returns the name used in logs.
 constexpr const char*
-HolderAnswerName(HolderAnswer aAnswer)
+HolderStatusName(HolderStatus aHolderStatus)
 {
-  switch (aAnswer) {
-    case HolderAnswer::Done:
+  switch (aHolderStatus) {
+    case HolderStatus::Done:
       return "done";
-    case HolderAnswer::InProgress:
+    case HolderStatus::InProgress:
       return "in_progress";
-    case HolderAnswer::Released:
+    case HolderStatus::Released:
       return "released";
-    case HolderAnswer::Unknown:
+    case HolderStatus::Unknown:
       return "unknown";
-    case HolderAnswer::Unreachable:
+    case HolderStatus::Unreachable:
       return "unreachable";
   }
   return "unreachable";
 }
 
-// Asks the holder of a claim for the outcome of its request, and answers other nodes that ask.
-// Belongs to its loop.
+// Queries the holder of a claim for the outcome of its request, and replies to such queries from
+// other nodes. Not thread-safe: use it only on its event loop.
 template<peer::PeerTransport Transport>
 class ClaimResolver
 {
 public:
-  using ReplyCallback = std::function<void(HolderAnswer, FinalAnswer)>;
-  // Looks a claim of this node up. The reply may come later, but within kHoldTime.
+  using ReplyCallback = std::function<void(HolderStatus, FinalResponse)>;
+  // Looks up a claim that this node holds. Must call back within kMaxReplyDelay.
   using Lookup =
     std::function<void(const std::string& aKey, const std::string& aToken, ReplyCallback)>;
 
-  // The holder answers a question about a running request after this time at the latest.
-  static constexpr Duration kHoldTime{ 2000 };
+  // Time after which the holder replies InProgress if the request is still running.
+  static constexpr Duration kMaxReplyDelay{ 2000 };
 
   ClaimResolver(Transport& aTransport, Lookup aLookup)
     : mTransport(aTransport)
@@ -63,9 +63,9 @@
     mTransport.Handle("claim.join", [lookup = std::move(aLookup)](
                                       const Json& aBody, const peer::ReplyFunction& aReply) {
       lookup(JsonValue<std::string>(aBody, "key", ""), JsonValue<std::string>(aBody, "token", ""),
-             [aReply](HolderAnswer aAnswer, const FinalAnswer& aFinal) {
-               Json reply = { { "state", static_cast<int>(aAnswer) } };
-               if (aAnswer == HolderAnswer::Done) {
+             [aReply](HolderStatus aHolderStatus, const FinalResponse& aFinal) {
+               Json reply = { { "state", static_cast<int>(aHolderStatus) } };
+               if (aHolderStatus == HolderStatus::Done) {
                  reply["answer"] = aFinal;
                }
                aReply(std::move(reply));
@@ -73,32 +73,34 @@
     });
   }
 
-  // Asks the holder of the claim at the given key.
-  void Ask(const std::string& aKey, const Claim& aClaim, ReplyCallback aCallback)
+  // Queries the holder of the claim at the given key.
+  void Query(const std::string& aKey, const Claim& aClaim, ReplyCallback aCallback)
   {
     const Json body = { { "key", aKey }, { "token", aClaim.mToken } };
-    mTransport.Call(aClaim.mPeer, "claim.join", body, kHoldTime + kMargin,
+    mTransport.Call(aClaim.mPeer, "claim.join", body, kMaxReplyDelay + kReplyMargin,
                     [callback = std::move(aCallback), alive = std::weak_ptr<int>(mAlive)](
                       std::error_code aError, const Json& aReply) {
                       if (!alive.expired()) {
-                        Report(callback, aError, aReply);
+                        DeliverReply(callback, aError, aReply);
                       }
                     });
   }
 
 private:
-  static constexpr Duration kMargin{ 1000 };
+  // Time for the call itself, on top of kMaxReplyDelay.
+  static constexpr Duration kReplyMargin{ 1000 };
 
-  static void Report(const ReplyCallback& aCallback, std::error_code aError, const Json& aReply)
+  static void
+  DeliverReply(const ReplyCallback& aCallback, std::error_code aError, const Json& aReply)
   {
-    const auto state = JsonValue(aReply, "state", static_cast<int>(HolderAnswer::Unreachable));
-    const bool known = state >= 0 && state < static_cast<int>(HolderAnswer::Unreachable);
-    auto answer = aError || !known ? HolderAnswer::Unreachable : static_cast<HolderAnswer>(state);
-    FinalAnswer final;
-    if (answer == HolderAnswer::Done) {
-      final = JsonValue(aReply, "answer", FinalAnswer());
+    const auto state = JsonValue(aReply, "state", static_cast<int>(HolderStatus::Unreachable));
+    const bool known = state >= 0 && state < static_cast<int>(HolderStatus::Unreachable);
+    auto status = aError || !known ? HolderStatus::Unreachable : static_cast<HolderStatus>(state);
+    FinalResponse final;
+    if (status == HolderStatus::Done) {
+      final = JsonValue(aReply, "answer", FinalResponse());
     }
-    aCallback(answer, std::move(final));
+    aCallback(status, std::move(final));
   }
 
   Transport& mTransport;
--- a/src/routing/ClaimStore.h
+++ b/src/routing/ClaimStore.h
@@ -12,16 +12,17 @@
 
 namespace lovagerock::routing {
 
-// The answer to an attempt to claim a key.
+// The result of an attempt to claim a key.
 struct ClaimResult
 {
   enum class Kind
   {
     // This node holds the claim and may send the request.
     Held,
-    // Another claim has the key; mClaim is that claim.
+    // The key already has another claim, which mClaim holds.
     Exists,
-    // The key-value service can't tell; the request must not be sent.
+    // It is unknown whether the key is claimed, because the key-value service failed. The request
+    // must not be sent.
     Unavailable,
   };
 
@@ -30,7 +31,9 @@
   kv::ModifyIndex mIndex = 0;
 };
 
-// The claims of keyed non-idempotent requests. Belongs to its loop.
+// Acquires and settles the claims of non-idempotent requests with an idempotency key. A claim is
+// settled once its final state, Released or Done, is recorded. Not thread-safe: use it only on its
+// event loop.
 template<kv::KeyValueStore Store>
 class ClaimStore
 {
@@ -45,9 +48,9 @@
   {
   }
 
-  // Claims a key whose present version is aExpected; 0 creates the key. If the answer of the write
-  // is lost, the key is read. If that fails too, the result is Unavailable and the claim, should it
-  // exist, is released later.
+  // Claims a key whose current version is aExpected; 0 creates the key. If the result of the write
+  // is lost, the key is read. If that fails too, the result is Unavailable, and the claim is
+  // released later if it turns out to exist.
   void Acquire(const std::string& aKey, Claim aClaim, kv::ModifyIndex aExpected,
                AcquireCallback aCallback)
   {
@@ -56,10 +59,10 @@
     call->mClaim = std::move(aClaim);
     call->mExpected = aExpected;
     call->mCallback = std::move(aCallback);
-    WriteClaimOf(call);
+    WriteAcquisition(call);
   }
 
-  // Reads a key; no claim if it is absent or not a claim.
+  // Reads a key. Passes no claim if the key is absent or its value is not a claim.
   void Read(const std::string& aKey, ReadCallback aCallback)
   {
     mStore.Get(aKey, [callback = std::move(aCallback), alive = std::weak_ptr<int>(mAlive)](
@@ -71,17 +74,18 @@
     });
   }
 
-  // Records a claim that this node holds at version aExpected as released or done, and repeats it
-  // until it is recorded. aTried is called once, when the first write has ended in any way.
+  // Records that a claim which this node holds at version aExpected is released or done, and
+  // retries until it is recorded. Calls aOnFirstWrite once, when the first write has succeeded or
+  // failed.
   void Settle(const std::string& aKey, Claim aClaim, kv::ModifyIndex aExpected,
-              std::function<void()> aTried = nullptr)
+              std::function<void()> aOnFirstWrite = nullptr)
   {
     const auto token = aClaim.mToken;
-    mUnsettled[token] = { aKey, std::move(aClaim), aExpected, 0, std::move(aTried) };
+    mUnsettled[token] = { aKey, std::move(aClaim), aExpected, 0, std::move(aOnFirstWrite) };
     WriteSettlement(token);
   }
 
-  // Whether a claim of this node has an outcome that is not recorded yet.
+  // Whether the final state of a claim of this node is still to be recorded.
   bool IsUnsettled(const std::string& aToken) const { return mUnsettled.contains(aToken); }
   std::size_t Unsettled() const { return mUnsettled.size(); }
 
@@ -93,7 +97,7 @@
     kv::ModifyIndex mExpected = 0;
     AcquireCallback mCallback;
     int mTries = 0;
-    // Whether a write whose answer was lost may still take effect.
+    // Whether a write whose result was lost may have taken effect or still take effect.
     bool mUncertain = false;
   };
   using AcquirePtr = std::shared_ptr<AcquireCall>;
@@ -102,19 +106,19 @@
   {
     std::string mKey;
     Claim mClaim;
-    // 0 if the claim's version is unknown, and whether it exists.
+    // 0 while it is unknown whether the claim exists and at which version.
     kv::ModifyIndex mExpected = 0;
     int mAbsentReads = 0;
-    std::function<void()> mTried;
+    std::function<void()> mOnFirstWrite;
   };
 
   static constexpr int kMaxTries = 3;
-  static constexpr Duration kSettleInterval{ 1000 };
-  // A lost write may take effect late; a claim that is absent in this many reads, one a second,
-  // is taken to be never written.
-  static constexpr int kAbsentReads = 10;
+  static constexpr Duration kSettleRetryInterval{ 1000 };
+  // A write whose result was lost may take effect late. If this many reads, one per second, don't
+  // find the claim, it is taken as never written.
+  static constexpr int kMaxAbsentReads = 10;
 
-  void WriteClaimOf(const AcquirePtr& aCall)
+  void WriteAcquisition(const AcquirePtr& aCall)
   {
     ++aCall->mTries;
     mBatcher.Write({ kv::Operation::Kind::CompareAndSet, aCall->mKey, WriteClaim(aCall->mClaim),
@@ -131,7 +135,7 @@
       return;
     }
     if (aOutcome == WriteOutcome::Unavailable) {
-      GiveUp(aCall);
+      FailAcquire(aCall);
       return;
     }
     aCall->mUncertain = aCall->mUncertain || aOutcome == WriteOutcome::Unknown;
@@ -144,7 +148,7 @@
                    const std::optional<Claim>& aClaim, kv::ModifyIndex aIndex)
   {
     if (aError) {
-      GiveUp(aCall);
+      FailAcquire(aCall);
       return;
     }
     if (aClaim && aClaim->mToken == aCall->mClaim.mToken) {
@@ -152,23 +156,23 @@
       return;
     }
     if (aIndex == aCall->mExpected || aIndex == 0) {
-      // The write didn't take effect, or the claim that was in its way has been deleted since.
+      // The write didn't take effect, or the conflicting claim has been deleted since.
       aCall->mExpected = aIndex;
       if (aCall->mTries < kMaxTries) {
-        WriteClaimOf(aCall);
+        WriteAcquisition(aCall);
       } else {
-        GiveUp(aCall);
+        FailAcquire(aCall);
       }
       return;
     }
     if (!aClaim) {
-      GiveUp(aCall);
+      FailAcquire(aCall);
       return;
     }
     aCall->mCallback({ ClaimResult::Kind::Exists, *aClaim, aIndex });
   }
 
-  void GiveUp(const AcquirePtr& aCall)
+  void FailAcquire(const AcquirePtr& aCall)
   {
     if (aCall->mUncertain) {
       auto released = aCall->mClaim;
@@ -188,7 +192,7 @@
     }
     const auto& settlement = it->second;
     if (settlement.mExpected == 0) {
-      FindSettlement(aToken);
+      LocateClaim(aToken);
       return;
     }
     mBatcher.Write({ kv::Operation::Kind::CompareAndSet, settlement.mKey,
@@ -204,7 +208,7 @@
     if (it == mUnsettled.end()) {
       return;
     }
-    const auto tried = std::exchange(it->second.mTried, nullptr);
+    const auto tried = std::exchange(it->second.mOnFirstWrite, nullptr);
     if (aOutcome == WriteOutcome::Applied) {
       mUnsettled.erase(it);
     } else {
@@ -218,8 +222,8 @@
     }
   }
 
-  // Reads the key to learn the claim's version, or that it is settled already.
-  void FindSettlement(const std::string& aToken)
+  // Reads the key to find the claim's version, or to find that the claim is already settled.
+  void LocateClaim(const std::string& aToken)
   {
     Read(mUnsettled[aToken].mKey, [this, aToken](std::error_code aError,
                                                  const std::optional<Claim>& aClaim,
@@ -235,7 +239,7 @@
         return;
       }
       const bool settled = !aError && aIndex != 0;
-      const bool absent = !aError && aIndex == 0 && ++settlement.mAbsentReads >= kAbsentReads;
+      const bool absent = !aError && aIndex == 0 && ++settlement.mAbsentReads >= kMaxAbsentReads;
       if (settled || absent) {
         mUnsettled.erase(it);
       } else {
@@ -249,7 +253,7 @@
     if (mTimer.IsPending()) {
       return;
     }
-    mTimer = mLoop.After(kSettleInterval, [this] {
+    mTimer = mLoop.After(kSettleRetryInterval, [this] {
       std::vector<std::string> tokens;
       for (const auto& it : mUnsettled) {
         tokens.push_back(it.first);
--- a/src/routing/DeadlineWheel.cpp
+++ b/src/routing/DeadlineWheel.cpp
@@ -38,10 +38,10 @@
     return;
   }
   const auto first = mTicks.begin()->first;
-  if (mTimer.IsPending() && mArmed <= first) {
+  if (mTimer.IsPending() && mArmedTick <= first) {
     return;
   }
-  mArmed = first;
+  mArmedTick = first;
   const auto now = detail::ToMs(std::chrono::steady_clock::now());
   mTimer = mLoop.After(Duration(first * detail::kTickMs - now), [this] { Run(); });
 }
@@ -56,7 +56,7 @@
       mWake(it);
     }
   }
-  mArmed = 0;
+  mArmedTick = 0;
   mTimer.Cancel();
   Arm();
 }
--- a/src/routing/DeadlineWheel.h
+++ b/src/routing/DeadlineWheel.h
@@ -9,15 +9,16 @@
 
 namespace lovagerock::routing {
 
-// Wakes requests at given times with one shared timer, because a timer per request costs more
-// than the rest of a short request. Wakes up to 10 ms late; belongs to its loop.
+// Calls back for requests at given times, using one shared event-loop timer, because a timer per
+// request costs more than the rest of a short request. Times are rounded up to ticks of 10 ms, so
+// callbacks come up to 10 ms late. Not thread-safe: use it only on its event loop.
 class DeadlineWheel
 {
 public:
   DeadlineWheel(EventLoop& aLoop, std::function<void(RequestNumber)> aWake);
 
-  // Wakes the request once at the given time. There is no removal: a request checks at each wake
-  // what is due, and requests that have ended are ignored by the owner.
+  // Calls aWake once for the request at the given time. Entries can't be removed: the owner checks
+  // at each call what is due, and ignores requests that have ended.
   void Add(TimePoint aTime, RequestNumber aRequest);
 
 private:
@@ -26,8 +27,10 @@
 
   EventLoop& mLoop;
   std::function<void(RequestNumber)> mWake;
+  // Requests by tick, in units of 10 ms of the steady clock.
   std::map<std::int64_t, std::vector<RequestNumber>> mTicks;
-  std::int64_t mArmed = 0;
+  // The tick that the timer is set for.
+  std::int64_t mArmedTick = 0;
   Timer mTimer;
 };
 
--- a/src/routing/FinalAnswer.cpp
+++ b/src/routing/FinalResponse.cpp
@@ -1,4 +1,4 @@
-#include "routing/FinalAnswer.h"
+#include "routing/FinalResponse.h"
 
 namespace lovagerock::routing {
 
@@ -34,35 +34,35 @@
 }
 
 void
-to_json(Json& aJson, const FinalAnswer& aAnswer)
+to_json(Json& aJson, const FinalResponse& aFinal)
 {
   Json headers = Json::array();
-  for (const auto& [name, value] : aAnswer.mResponse.mHeaders) {
+  for (const auto& [name, value] : aFinal.mResponse.mHeaders) {
     headers.push_back({ name, value });
   }
-  const auto& body = aAnswer.mResponse.mBody;
-  aJson = { { "outcome", aAnswer.mOutcome },
-            { "not_run", aAnswer.mNotRun },
-            { "status", aAnswer.mResponse.mStatus },
+  const auto& body = aFinal.mResponse.mBody;
+  aJson = { { "outcome", aFinal.mOutcome },
+            { "not_run", aFinal.mNotRun },
+            { "status", aFinal.mResponse.mStatus },
             { "headers", std::move(headers) },
             { "body", Json::binary({ body.begin(), body.end() }) } };
 }
 
 void
-from_json(const Json& aJson, FinalAnswer& aAnswer)
+from_json(const Json& aJson, FinalResponse& aFinal)
 {
-  aAnswer.mOutcome = JsonValue<std::string>(aJson, "outcome", "");
-  aAnswer.mNotRun = JsonValue(aJson, "not_run", false);
-  aAnswer.mResponse.mStatus = JsonValue(aJson, "status", 500);
+  aFinal.mOutcome = JsonValue<std::string>(aJson, "outcome", "");
+  aFinal.mNotRun = JsonValue(aJson, "not_run", false);
+  aFinal.mResponse.mStatus = JsonValue(aJson, "status", 500);
   for (const auto& it : JsonValue(aJson, "headers", Json::array())) {
     if (it.is_array() && it.size() == 2 && it[0].is_string() && it[1].is_string()) {
-      aAnswer.mResponse.mHeaders.Add(it[0].get<std::string>(), it[1].get<std::string>());
+      aFinal.mResponse.mHeaders.Add(it[0].get<std::string>(), it[1].get<std::string>());
     }
   }
   const auto body = aJson.find("body");
   if (body != aJson.end() && body->is_binary()) {
     const auto& bytes = body->get_binary();
-    aAnswer.mResponse.mBody.assign(bytes.begin(), bytes.end());
+    aFinal.mResponse.mBody.assign(bytes.begin(), bytes.end());
   }
 }
 
--- a/src/routing/ReplicaPicker.cpp
+++ b/src/routing/ReplicaPicker.cpp
@@ -29,8 +29,8 @@
   if (replicas.empty()) {
     return nullptr;
   }
-  // The first two usable replicas from random positions; the scan from the second position ends
-  // after one round, so a full service costs one pass.
+  // Takes the first usable replica after each of two random positions. If the first scan finds
+  // none, there is no second one, so a service without a free replica costs one pass.
   ReplicaPtr best;
   ReplicaPtr avoided;
   for (int choice = 0; choice < 2; ++choice) {
@@ -71,7 +71,7 @@
 }
 
 bool
-ReplicaPicker::Report(ReplicaHost& aHost, bool aSuccess, TimePoint aNow)
+ReplicaPicker::RecordOutcome(ReplicaHost& aHost, bool aSuccess, TimePoint aNow)
 {
   if (aSuccess) {
     aHost.mFailures = 0;
--- a/src/routing/RequestApi.cpp
+++ b/src/routing/RequestApi.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 constexpr std::string_view kBearer = "Bearer ";
-// Header fields of the caller that the worker receives.
-constexpr std::array<std::string_view, 7> kPassedHeaders{ "Content-Type",    "Content-Encoding",
-                                                          "Accept",          "Accept-Encoding",
-                                                          "Accept-Language", "traceparent",
-                                                          "tracestate" };
+// Header fields that are forwarded from the caller's request to the worker.
+constexpr std::array<std::string_view, 7> kForwardedHeaders{ "Content-Type",    "Content-Encoding",
+                                                             "Accept",          "Accept-Encoding",
+                                                             "Accept-Language", "traceparent",
+                                                             "tracestate" };
 
 Refusal
 BadRequest(std::string aError, std::string aMessage)
@@ -27,7 +27,7 @@
 }
 
 bool
-IsVisible(std::string_view aText)
+IsVisibleAscii(std::string_view aText)
 {
   return std::all_of(aText.begin(), aText.end(),
                      [](unsigned char aByte) { return aByte > ' ' && aByte < 0x7f; });
@@ -75,7 +75,7 @@
 RequestApi::Check(const http::Request& aRequest, RouteRequest& aRoute) const
 {
   if (const auto reason = mGate()) {
-    return Refusal{ 503,     *reason, "this node takes no new work at present",
+    return Refusal{ 503,     *reason, "this node is not accepting requests at present",
                     Ran::No, true,    Duration(1000) };
   }
   if (auto refusal = CheckAccount(aRequest, aRoute)) {
@@ -93,18 +93,18 @@
       ? mDirectory.mFindAccount(Sha256Hex(authorization.substr(detail::kBearer.size())))
       : std::nullopt;
   if (!account) {
-    return Refusal{ 401,     "wrong_token", "the bearer token belongs to no account",
+    return Refusal{ 401,     "wrong_token", "the bearer token belongs to no client account",
                     Ran::No, false,         Duration(0) };
   }
   aRoute.mAccount = account->mAccount;
   aRoute.mWeight = account->mWeight;
   aRoute.mService = ServiceId(aRequest.PathParameter("service"));
   const auto service = mDirectory.mFindService(aRoute.mService);
-  // A service that the account may not call looks like an unknown one.
+  // A service that the account may not call is reported in the same way as one that doesn't exist.
   if (!service || std::find(service->mCallers.begin(), service->mCallers.end(),
                             account->mAccount) == service->mCallers.end()) {
     return Refusal{
-      404,   "unknown_service", "the account may call no service of this name", Ran::No,
+      404,   "unknown_service", "the client account has access to no service of this name", Ran::No,
       false, Duration(0)
     };
   }
@@ -127,7 +127,7 @@
   }
   if (headers.Has("Idempotency-Key")) {
     const auto value = headers.Get("Idempotency-Key");
-    if (value.empty() || value.size() > kMaxKey || !detail::IsVisible(value)) {
+    if (value.empty() || value.size() > kMaxKeyLength || !detail::IsVisibleAscii(value)) {
       return detail::BadRequest("invalid_idempotency_key",
                                 "Idempotency-Key must have 1 to 255 visible ASCII characters");
     }
@@ -144,7 +144,7 @@
     }
     aRoute.mTimeout = Duration(ms);
   }
-  for (const auto it : detail::kPassedHeaders) {
+  for (const auto it : detail::kForwardedHeaders) {
     const auto value = headers.Get(it);
     if (!value.empty()) {
       aRoute.mHeaders.Add(std::string(it), std::string(value));
--- a/src/routing/RequestTask.cpp
+++ b/src/routing/RequestTask.cpp
@@ -12,8 +12,9 @@
 namespace detail {
 namespace {
 
-// Bytes written towards a caller before the worker has to wait for the caller.
-constexpr std::size_t kMaxUnwritten = 256 * 1024;
+// After this many bytes, reading from the worker pauses until the caller's connection has taken
+// them.
+constexpr std::size_t kFlowControlBytes = 256 * 1024;
 
 constexpr unsigned
 Bit(RequestState aState)
@@ -41,9 +42,9 @@
          strncasecmp(aName.data(), aExpected.data(), aName.size()) == 0;
 }
 
-// Headers of the connection to the worker, which don't belong to the caller's connection.
+// Headers that apply only to the connection to the worker, or that are set anew for the caller.
 bool
-IsHopHeader(std::string_view aName)
+IsHopByHopHeader(std::string_view aName)
 {
   return IsName(aName, "Connection") || IsName(aName, "Transfer-Encoding") ||
          IsName(aName, "Keep-Alive") || IsName(aName, "Content-Length") || IsName(aName, "Date") ||
@@ -62,11 +63,11 @@
 } // namespace
 } // namespace detail
 
-// Counts the pieces on the way to the caller while reading from the worker is stopped.
-struct RequestTask::Flow
+// Counts the writes to the caller that must finish before reading from the worker resumes.
+struct RequestTask::FlowControl
 {
   http::CallHandle mCall;
-  std::size_t mPieces = 0;
+  std::size_t mPendingWrites = 0;
 };
 
 std::string_view
@@ -81,13 +82,13 @@
                          const http::Responder& aResponder, TimePoint aNow)
   : mNumber(aNumber)
   , mRequest(std::move(aRequest))
-  , mStarted(aNow)
+  , mArrivedAt(aNow)
   , mDeadline(aNow + mRequest.mTimeout)
   , mLastActivity(aNow)
   , mLastContact(aNow)
   , mResponder(aResponder)
 {
-  mAnswer.mStatus = 0;
+  mWorkerResponse.mStatus = 0;
 }
 
 void
@@ -112,84 +113,85 @@
 }
 
 void
-RequestTask::TakeHeaders(int aStatus, const http::Headers& aHeaders)
+RequestTask::BeginResponse(int aStatus, const http::Headers& aHeaders)
 {
-  ResetAnswer();
-  mAnswer.mStatus = aStatus;
+  ResetResponse();
+  mWorkerResponse.mStatus = aStatus;
   for (const auto& [name, value] : aHeaders) {
-    if (!detail::IsHopHeader(name)) {
-      mAnswer.mHeaders.Add(name, value);
+    if (!detail::IsHopByHopHeader(name)) {
+      mWorkerResponse.mHeaders.Add(name, value);
     }
   }
-  mAnswer.mHeaders.Add("Request-Id", mRequest.mId.Value());
+  mWorkerResponse.mHeaders.Add("Request-Id", mRequest.mId.Value());
   const auto length = detail::ContentLength(aHeaders);
-  if ((length && *length <= kMaxCollected) || !mResponder) {
+  if ((length && *length <= kMaxBufferedBodyBytes) || !mResponder) {
     return;
   }
-  auto headers = mAnswer.mHeaders;
+  auto headers = mWorkerResponse.mHeaders;
   if (length) {
     headers.Add("Content-Length", std::to_string(*length));
   }
   mStreaming = true;
-  mKept = !mRequest.mKey.empty() && (!length || *length <= kMaxKept);
+  mBodyRetained = !mRequest.mKey.empty() && (!length || *length <= kMaxRetainedBodyBytes);
   mResponder->Start(aStatus, headers);
 }
 
 void
-RequestTask::TakeData(std::string_view aData)
+RequestTask::AppendToResponse(std::string_view aData)
 {
   if (mStreaming) {
-    Forward(aData);
+    ForwardToCaller(aData);
   }
-  if (mKept && mAnswer.mBody.size() + aData.size() > kMaxKept) {
-    mKept = false;
-    mAnswer.mBody = {};
+  if (mBodyRetained && mWorkerResponse.mBody.size() + aData.size() > kMaxRetainedBodyBytes) {
+    mBodyRetained = false;
+    mWorkerResponse.mBody = {};
   }
-  if (mKept) {
-    mAnswer.mBody += aData;
+  if (mBodyRetained) {
+    mWorkerResponse.mBody += aData;
   }
 }
 
 void
-RequestTask::ResetAnswer()
+RequestTask::ResetResponse()
 {
-  mAnswer = {};
-  mAnswer.mStatus = 0;
-  mKept = true;
+  mWorkerResponse = {};
+  mWorkerResponse.mStatus = 0;
+  mBodyRetained = true;
 }
 
 bool
 RequestTask::IsPaused() const
 {
-  return mFlow && mFlow->mPieces > 0;
+  return mFlowControl && mFlowControl->mPendingWrites > 0;
 }
 
-// The guard resumes reading when the server has written the piece, and also when it dropped the
-// callback because the caller is gone: the worker's answer is then read to its end.
+// The guard resumes reading when the server has written the data, and also when the server discards
+// the callback because the caller has disconnected. The worker's response is then read to its end.
 void
-RequestTask::Forward(std::string_view aData)
+RequestTask::ForwardToCaller(std::string_view aData)
 {
   if (!mResponder) {
     return;
   }
-  mUnwritten += aData.size();
-  if (!IsPaused() && mUnwritten < detail::kMaxUnwritten) {
+  mBytesSincePause += aData.size();
+  if (!IsPaused() && mBytesSincePause < detail::kFlowControlBytes) {
     mResponder->Write(aData);
     return;
   }
-  if (!mFlow) {
-    mFlow = std::make_shared<Flow>();
+  if (!mFlowControl) {
+    mFlowControl = std::make_shared<FlowControl>();
   }
-  mFlow->mCall = mCall;
-  if (mFlow->mPieces++ == 0) {
+  mFlowControl->mCall = mCall;
+  if (mFlowControl->mPendingWrites++ == 0) {
     mCall.Pause();
   }
-  mUnwritten = 0;
-  const std::shared_ptr<Flow> guard(mFlow.get(), [flow = mFlow](Flow*) {
-    if (--flow->mPieces == 0) {
-      flow->mCall.Resume();
-    }
-  });
+  mBytesSincePause = 0;
+  const std::shared_ptr<FlowControl> guard(mFlowControl.get(),
+                                           [flowControl = mFlowControl](FlowControl*) {
+                                             if (--flowControl->mPendingWrites == 0) {
+                                               flowControl->mCall.Resume();
+                                             }
+                                           });
   mResponder->Write(aData, [guard] {});
 }
 
@@ -204,7 +206,7 @@
 }
 
 void
-RequestTask::SendFinal(const FinalAnswer& aFinal)
+RequestTask::SendFinal(const FinalResponse& aFinal)
 {
   if (!mResponder) {
     return;
@@ -217,10 +219,10 @@
   mResponder.reset();
 }
 
-FinalAnswer
-RequestTask::TakeAnswer()
+FinalResponse
+RequestTask::TakeResponse()
 {
-  return { "answered", std::exchange(mAnswer, {}), false };
+  return { "answered", std::exchange(mWorkerResponse, {}), false };
 }
 
 } // namespace lovagerock::routing
--- a/src/routing/RequestTask.h
+++ b/src/routing/RequestTask.h
@@ -5,7 +5,7 @@
 #include "kv/KeyValueStore.h"
 #include "routing/AdmissionQueue.h"
 #include "routing/Claim.h"
-#include "routing/FinalAnswer.h"
+#include "routing/FinalResponse.h"
 #include "routing/Replica.h"
 #include "routing/RouteRequest.h"
 
@@ -18,31 +18,33 @@
 
 namespace lovagerock::routing {
 
-// Where a request stands.
+// The state of a request.
 enum class RequestState
 {
-  // Waits for a free replica.
+  // Queued for a free replica.
   Queued,
   // Waits for its claim, or for the outcome of another request with the same key.
   Claiming,
-  // Was handed to a worker; no byte of the answer went to the caller.
+  // Sent to a worker; nothing of the response has been sent to the caller yet.
   Sending,
-  // Part of the answer went to the caller.
+  // Part of the response has been sent to the caller.
   Streaming,
-  // The worker's connection is silent or was cut; the worker is asked over a new connection.
+  // The connection to the worker delivers nothing or was lost; the router queries the request's
+  // phase at the worker over a new connection.
   Probing,
-  // Waits for the backoff before the next attempt.
+  // Waiting for the backoff delay before the next attempt.
   Retrying,
-  // Has its one final answer.
+  // Has its final response.
   Done,
 };
 
-// The name in logs.
+// Returns the name used in logs.
 std::string_view
 RequestStateName(RequestState aState);
 
-// One request of a caller: its state, its attempt and its answer so far. Owned by the Router, which
-// makes all decisions; the task keeps the rules of the answer towards the caller.
+// One request of a caller: its state, its current attempt and the response received so far. Owned
+// by the Router, which makes all decisions. The task buffers or streams the response to the caller
+// and ensures that the caller gets at most one.
 class RequestTask
 {
 public:
@@ -51,102 +53,112 @@
 
   const RequestNumber mNumber;
   RouteRequest mRequest;
-  const TimePoint mStarted;
+  const TimePoint mArrivedAt;
   const TimePoint mDeadline;
 
-  // Key under which requests with the same idempotency key meet; empty without one.
+  // Key of the claim, the same for all requests of an account with the same idempotency key. Empty
+  // for requests without an idempotency key.
   std::string mClaimKey;
   std::string mFingerprint;
   // The claim that this request holds or waits for.
   std::optional<Claim> mClaim;
   kv::ModifyIndex mClaimIndex = 0;
   bool mClaimHeld = false;
-  // Questions to the holder of the claim that stayed without an answer.
-  int mUnreachable = 0;
+  // Queries to the holder of the claim that got no reply.
+  int mUnreachableQueries = 0;
 
-  // The present attempt; mGeneration also counts the calls that fetch an answer, so that results
-  // of earlier calls are told apart.
+  // mAttempt is the number of the current attempt. mGeneration increases whenever a call to the
+  // worker is opened or closed, so that late results of earlier calls and probes can be ignored.
   int mAttempt = 0;
   int mGeneration = 0;
   ReplicaPtr mReplica;
   // When the replica was reserved.
-  TimePoint mReserved;
+  TimePoint mReservedAt;
   http::CallHandle mCall;
   bool mCallOpen = false;
   bool mFetching = false;
-  // The worker said that the attempt was refused without running, or cancelled while running.
+  // Whether the worker reported that it refused the attempt without running it, or that it
+  // cancelled the attempt while running it.
   bool mNotRun = false;
   bool mCancelled = false;
-  // The worker knew the request, so that its not knowing it later doesn't mean "not run".
-  bool mSeen = false;
-  // The worker no longer had the answer when it was fetched.
-  bool mAnswerLost = false;
-  // A tombstone was set after the request had started at the worker.
-  bool mDropped = false;
+  // Whether the worker has shown that it received the attempt. If so, a later report that it
+  // doesn't know the attempt doesn't prove that it was not run.
+  bool mSeenByWorker = false;
+  // Whether the worker no longer had the response when it was fetched.
+  bool mResponseLost = false;
+  // Whether the attempt was already running at the worker when its tombstone was set. A tombstone
+  // makes the worker cancel the attempt, or refuse it if it arrives later.
+  bool mTombstoneAfterStart = false;
   bool mProbeOpen = false;
+  // Consecutive probes that reported the attempt as done while its response was still streaming.
   int mDoneProbes = 0;
-  // The last sign of life of the attempt, and of the worker about the attempt.
+  // When data last arrived on the connection of the attempt, and when the worker last reported
+  // anything about the attempt.
   TimePoint mLastActivity;
   TimePoint mLastContact;
-  // When the retry, or the next question to the holder of the claim, is due.
+  // When the retry, or the next query to the holder of the claim, is due.
   TimePoint mRetryAt;
   TimePoint mNextWake = TimePoint::max();
-  // Whether the request waited for a replica.
-  bool mWaited = false;
+  // Whether the request had to wait in the queue for a replica.
+  bool mWasQueued = false;
   std::string mRetryReason = "new";
-  WorkerId mAvoid;
-  // Whether an earlier or the present attempt may have run.
+  WorkerId mAvoidWorker;
+  // Whether an earlier attempt, or another request with the same idempotency key, may have run.
   bool mMayHaveRun = false;
 
-  // Receive the final answer; others with the same key and nodes that asked for the claim.
-  std::vector<std::function<void(const FinalAnswer&)>> mJoiners;
+  // Called with the final response: for other requests with the same idempotency key, and for nodes
+  // that queried the claim.
+  std::vector<std::function<void(const FinalResponse&)>> mJoiners;
 
   RequestState State() const { return mState; }
-  // Moves to a state; only the transitions of the state machine are allowed.
+  // Changes the state. Asserts that the state machine allows the transition.
   void SetState(RequestState aState);
-  // Whether the request is with a worker.
+  // Whether the current attempt has been sent to a worker and has not ended.
   bool IsAtWorker() const;
-  // The id of the present attempt at the worker.
+  // Returns the id that the worker knows the current attempt by.
   RequestId AttemptId() const;
 
-  // Takes the head of a worker's answer. Answers of more than kMaxCollected bytes or of unknown
-  // size stream to the caller; others are collected, so that a cut answer can still be replaced.
-  void TakeHeaders(int aStatus, const http::Headers& aHeaders);
-  // Takes a piece of the answer and stops reading from the worker while the caller is slower.
-  void TakeData(std::string_view aData);
-  // Forgets an answer of which nothing went to the caller.
-  void ResetAnswer();
-  // Whether part of the answer went to the caller.
-  bool IsAnswerStarted() const { return mStreaming; }
-  // Whether reading from the worker is stopped because the caller is slower.
+  // Handles the status and headers of a worker's response. A response with more than
+  // kMaxBufferedBodyBytes bytes or of unknown size is streamed to the caller. Others are buffered,
+  // so that a retry can replace a truncated response.
+  void BeginResponse(int aStatus, const http::Headers& aHeaders);
+  // Handles a part of the response body. Pauses reading from the worker while the caller is slower
+  // to read.
+  void AppendToResponse(std::string_view aData);
+  // Discards the response received so far.
+  void ResetResponse();
+  // Whether part of the response has been sent to the caller.
+  bool IsResponseStarted() const { return mStreaming; }
+  // Whether reading from the worker is paused because the caller is slower.
   bool IsPaused() const;
-  // The status of the worker's answer; 0 before its head.
-  int AnswerStatus() const { return mAnswer.mStatus; }
-  // Cuts the caller's connection, so that a part of an answer never looks complete.
+  // HTTP status of the worker's response; 0 before its headers have arrived.
+  int ResponseStatus() const { return mWorkerResponse.mStatus; }
+  // Aborts the caller's connection, so that a truncated response never looks complete.
   void AbortCaller();
-  // Sends the final answer to the caller, or completes the streamed one.
-  void SendFinal(const FinalAnswer& aFinal);
-  // The worker's complete answer. The body of a streamed answer is present only if it was kept.
-  FinalAnswer TakeAnswer();
-  bool IsAnswerKept() const { return mKept; }
+  // Sends the final response to the caller, or completes the streamed one.
+  void SendFinal(const FinalResponse& aFinal);
+  // Moves the worker's complete response out of the task. The body of a streamed response is
+  // present only if IsBodyRetained().
+  FinalResponse TakeResponse();
+  bool IsBodyRetained() const { return mBodyRetained; }
 
 private:
-  struct Flow;
+  struct FlowControl;
 
-  void Forward(std::string_view aData);
+  void ForwardToCaller(std::string_view aData);
 
   RequestState mState = RequestState::Queued;
   std::optional<http::Responder> mResponder;
-  http::Response mAnswer;
+  http::Response mWorkerResponse;
   bool mStreaming = false;
-  bool mKept = true;
-  std::size_t mUnwritten = 0;
-  std::shared_ptr<Flow> mFlow;
+  bool mBodyRetained = true;
+  std::size_t mBytesSincePause = 0;
+  std::shared_ptr<FlowControl> mFlowControl;
 };
 
-// Larger answers stream to the caller.
-inline constexpr std::size_t kMaxCollected = 16 * 1024;
-// Answers of keyed requests are kept for retries up to this size.
-inline constexpr std::size_t kMaxKept = 1024 * 1024;
+// Responses with larger bodies are streamed to the caller.
+inline constexpr std::size_t kMaxBufferedBodyBytes = 16 * 1024;
+// Response bodies up to this size are retained for retries with the same idempotency key.
+inline constexpr std::size_t kMaxRetainedBodyBytes = 1024 * 1024;
 
 } // namespace lovagerock::routing
--- a/src/routing/KeptAnswers.cpp
+++ b/src/routing/ResponseCache.cpp
@@ -1,4 +1,4 @@
-#include "routing/KeptAnswers.h"
+#include "routing/ResponseCache.h"
 
 #include <utility>
 
@@ -7,20 +7,20 @@
 namespace detail {
 namespace {
 
-// Memory of an entry besides its body.
+// Estimated bytes of memory of an entry without its body.
 constexpr std::size_t kEntryOverhead = 1024;
 
 std::size_t
-SizeOf(const KeptAnswers::Entry& aEntry)
+SizeOf(const ResponseCache::Entry& aEntry)
 {
-  return aEntry.mAnswer.mResponse.mBody.size() + kEntryOverhead;
+  return aEntry.mFinalResponse.mResponse.mBody.size() + kEntryOverhead;
 }
 
 } // namespace
 } // namespace detail
 
 void
-KeptAnswers::Add(const std::string& aKey, Entry aEntry)
+ResponseCache::Add(const std::string& aKey, Entry aEntry)
 {
   const auto n = detail::SizeOf(aEntry);
   if (!mEntries.emplace(aKey, std::move(aEntry)).second) {
@@ -36,8 +36,8 @@
   }
 }
 
-const KeptAnswers::Entry*
-KeptAnswers::Find(const std::string& aKey) const
+const ResponseCache::Entry*
+ResponseCache::Find(const std::string& aKey) const
 {
   const auto it = mEntries.find(aKey);
   return it == mEntries.end() ? nullptr : &it->second;
--- a/src/routing/KeptAnswers.h
+++ b/src/routing/ResponseCache.h
@@ -1,6 +1,6 @@
 #pragma once
 
-#include "routing/FinalAnswer.h"
+#include "routing/FinalResponse.h"
 
 #include <cstddef>
 #include <deque>
@@ -9,21 +9,21 @@
 
 namespace lovagerock::routing {
 
-// The answers of recent keyed non-idempotent requests of this node, for retries. The oldest are
-// dropped when all together exceed 16 MiB. Belongs to its loop.
-class KeptAnswers
+// Caches the responses to recent non-idempotent requests with an idempotency key, for retries on
+// this node. Evicts the oldest when the total size exceeds 16 MiB. Not thread-safe.
+class ResponseCache
 {
 public:
   struct Entry
   {
     std::string mToken;
     std::string mFingerprint;
-    FinalAnswer mAnswer;
+    FinalResponse mFinalResponse;
   };
 
-  // Keeps an answer under a claim key; the first answer of a key stays.
+  // Caches a response under its claim key. Does nothing if the key already has one.
   void Add(const std::string& aKey, Entry aEntry);
-  // Null if the key has no answer.
+  // Returns null if the key has no cached response.
   const Entry* Find(const std::string& aKey) const;
 
 private:
--- a/src/routing/RetryBudget.cpp
+++ b/src/routing/RetryBudget.cpp
@@ -9,7 +9,8 @@
 
 constexpr double kRetriesPerRequest = 0.1;
 constexpr double kRetriesPerSecond = 3;
-// Unused budget is kept up to this amount, so that an outage after a calm hour has no burst.
+// Unused budget accumulates only up to this many retries, so that an outage after a period without
+// failures doesn't cause a burst of retries.
 constexpr double kMaxTokens = 100;
 constexpr Duration kFirstBackoff{ 20 };
 constexpr Duration kLongestBackoff{ 2000 };
--- a/src/routing/RetryBudget.h
+++ b/src/routing/RetryBudget.h
@@ -5,18 +5,19 @@
 
 namespace lovagerock::routing {
 
-// Limits retries to 10% of the requests plus 3 a second, so that retries can't overload a service
-// that already fails. Belongs to its loop.
+// Token bucket that limits retries to 10% of the requests plus 3 per second, so that retries can't
+// overload a service that is already failing. Not thread-safe.
 class RetryBudget
 {
 public:
   explicit RetryBudget(TimePoint aNow);
 
-  // Counts a new request.
+  // Adds the share of a new request to the budget.
   void AddRequest();
-  // Takes one retry out of the budget; false if it is used up.
+  // Takes one retry out of the budget. Returns false if the budget is exhausted.
   bool TakeRetry(TimePoint aNow);
-  // The delay before a retry, where the first has number 1: 20 ms doubling up to 2 s, with jitter.
+  // Returns the delay before retry number aRetry, counted from 1: 20 ms, doubling up to 2 s, with
+  // jitter.
   static Duration Backoff(int aRetry, Random& aRandom);
 
 private:
--- a/src/routing/Router.h
+++ b/src/routing/Router.h
@@ -10,13 +10,13 @@
 #include "routing/ClaimResolver.h"
 #include "routing/ClaimStore.h"
 #include "routing/DeadlineWheel.h"
-#include "routing/KeptAnswers.h"
 #include "routing/ReplicaPicker.h"
 #include "routing/RequestTask.h"
+#include "routing/ResponseCache.h"
 #include "routing/RetryBudget.h"
 #include "routing/RoutingMetrics.h"
 #include "routing/RoutingTable.h"
-#include "routing/RunTimes.h"
+#include "routing/RunTimeEstimator.h"
 #include "workers/WorkerApi.h"
 
 #include <array>
@@ -30,7 +30,7 @@
 
 namespace lovagerock::routing {
 
-// The part of the worker protocol that the request path needs; every WorkerApi has it.
+// The part of the worker protocol that request routing needs. Every WorkerApi satisfies it.
 template<typename T>
 concept RequestWorkers = requires(T aApi, const SocketAddress& aWorker, const RequestId& aRequest)
 {
@@ -43,24 +43,27 @@
 struct RouterOptions
 {
   NodeId mNode;
-  // Differs after each restart of the node.
+  // Identifies this node's process; changes with each restart.
   std::string mIncarnation;
-  // Where this node answers peer calls.
+  // Address at which this node accepts calls from other nodes.
   SocketAddress mPeer;
   ZoneId mZone;
-  // Request bodies held at once; more are refused.
+  // Request bodies that may be held in memory at once; requests beyond this are refused.
   Bytes mMaxBuffered{ 64 * 1024 * 1024 };
   std::string mClaimPrefix = "lovagerock/claims/";
-  // A request without a sign of life for this long is asked about over a new connection.
+  // If an attempt's connection delivers nothing for this long, the worker is probed over a new
+  // connection.
   Duration mProbeInterval{ 2000 };
-  // A worker that gives no answer about a request for this long is given up.
-  Duration mSilentLimit{ 6000 };
-  // Time that a drain waits for the key-value service after the last request.
+  // If a worker reports nothing about an idempotent request for this long, the attempt is
+  // abandoned.
+  Duration mUnresponsiveLimit{ 6000 };
+  // Time that a drain waits for claims to be recorded after the last request has ended.
   Duration mDrainLimit{ 10000 };
 };
 
-// Routes requests to workers, with one task per request. Every submitted request gets exactly one
-// final answer. Belongs to its loop, and must be destroyed before the objects that it was given.
+// Routes requests to workers, with one RequestTask per request. Every submitted request gets
+// exactly one final response. Not thread-safe: use it only on its event loop. Must be destroyed
+// before the objects passed to its constructor.
 template<kv::KeyValueStore Store, peer::PeerTransport Transport, RequestWorkers Workers>
 class Router
 {
@@ -70,23 +73,24 @@
   Router(const Router&) = delete;
   Router& operator=(const Router&) = delete;
 
-  // Takes over a request and its responder.
+  // Accepts a request and sends the final response through aResponder.
   void Submit(RouteRequest aRequest, const http::Responder& aResponder);
 
-  // Takes a worker's new state; a suspected or leaving worker gets no new work from now on.
+  // Updates a worker's state. A suspected or leaving worker gets no new requests.
   void
   UpdateWorker(const workers::WorkerState& aState, const SocketAddress& aAddress, bool aSuspected);
   void RemoveWorker(const WorkerId& aWorker);
   // Sets the number of live entry nodes, which share the workers' connections.
   void SetLiveNodes(int aCount);
 
-  // Sends nothing to workers while the function returns false; requests wait in the queue. After it
-  // may return true again, Resume() must be called.
+  // Sets a function that must return true for requests to be sent to workers; otherwise they stay
+  // in the queue. Resume() must be called when its result may have changed to true.
   void SetSendCheck(std::function<bool()> aMaySend) { mMaySend = std::move(aMaySend); }
   void Resume() { DispatchAll(); }
 
   // Refuses new requests, waits until all requests have ended and their claims are recorded, and
-  // calls back once. If the key-value service is down, claims are given up after mDrainLimit.
+  // then calls back once. Stops waiting for claims after mDrainLimit, in case the key-value service
+  // is down.
   void Drain(std::function<void()> aCallback);
   std::size_t ActiveRequests() const { return mTasks.size(); }
   std::size_t QueueLength() const { return mQueue.Length(); }
@@ -94,7 +98,7 @@
 private:
   using TaskPtr = std::shared_ptr<RequestTask>;
 
-  // Wraps a callback so that it does nothing after this object's end.
+  // Wraps a callback so that it does nothing once this object is destroyed.
   template<typename Function>
   auto Guarded(Function aFunction)
   {
@@ -105,7 +109,8 @@
       }
     };
   }
-  // Wraps a callback of the present attempt, so that late results of earlier ones are dropped.
+  // Wraps a callback of the current call to the worker, so that results of earlier calls are
+  // ignored.
   template<typename Function>
   auto ForCall(const RequestTask& aTask, Function aFunction)
   {
@@ -119,67 +124,69 @@
   }
   static TimePoint Now() { return std::chrono::steady_clock::now(); }
 
-  // Life of a request (RouterRequests.h).
+  // Life cycle of a request (RouterRequests.h).
   TaskPtr Find(RequestNumber aNumber) const;
   bool JoinByKey(RequestTask& aTask);
   void Join(RequestTask& aTask, RequestTask& aPrimary);
   void Schedule(RequestTask& aTask, TimePoint aTime);
   void OnWake(RequestNumber aNumber);
-  void OnDue(RequestTask& aTask, TimePoint aNow);
+  void RunDueAction(RequestTask& aTask, TimePoint aNow);
   void OnDeadline(RequestTask& aTask);
   void OnCallerGone(RequestTask& aTask);
   void Retry(RequestTask& aTask, std::string aReason, bool aNotRun);
   void Refuse(RequestTask& aTask, const Refusal& aRefusal);
-  void Finish(RequestTask& aTask, FinalAnswer aFinal);
+  void Finish(RequestTask& aTask, FinalResponse aFinal);
   void CheckDrained();
 
   // Admission (RouterAdmission.h).
   void Enqueue(RequestTask& aTask, bool aIsNew);
-  // Whether the wait leaves too little time for a typical run.
-  bool IsHopeless(const RequestTask& aTask, TimePoint aNow) const;
-  void RefuseHopeless(RequestTask& aTask, const std::string& aError, const std::string& aMessage);
+  // Whether the request would probably miss its deadline, given the expected wait for a replica and
+  // a typical run time.
+  bool WouldMissDeadline(const RequestTask& aTask, TimePoint aNow) const;
+  void RefuseTooLate(RequestTask& aTask, const std::string& aError, const std::string& aMessage);
   void Dispatch(const ServiceId& aService);
   void DispatchAll();
   void ReserveReplica(RequestTask& aTask, const ReplicaPtr& aReplica, TimePoint aNow);
   void ReleaseReplica(RequestTask& aTask);
-  RunTimes& TimesOf(const RequestTask& aTask);
+  RunTimeEstimator& EstimatorOf(const RequestTask& aTask);
 
   // Attempts at workers (RouterAttempts.h).
   void StartAttempt(RequestTask& aTask);
   void OpenCall(RequestTask& aTask, http::ClientRequest& aRequest);
   void CloseCall(RequestTask& aTask);
-  void OnHead(RequestTask& aTask, int aStatus, const http::Headers& aHeaders);
-  void OnData(RequestTask& aTask, std::string_view aData);
-  void OnEnd(RequestTask& aTask, std::error_code aError);
-  void OnAnswerEnd(RequestTask& aTask);
-  void OnCut(RequestTask& aTask);
-  void Report(RequestTask& aTask, bool aSuccess);
+  void OnResponseHeaders(RequestTask& aTask, int aStatus, const http::Headers& aHeaders);
+  void OnResponseData(RequestTask& aTask, std::string_view aData);
+  void OnCallEnd(RequestTask& aTask, std::error_code aError);
+  void OnResponseEnd(RequestTask& aTask);
+  void OnConnectionLost(RequestTask& aTask);
+  void RecordOutcome(RequestTask& aTask, bool aSuccess);
   void Probe(RequestTask& aTask);
   void OnProbe(RequestTask& aTask, std::error_code aError, workers::RequestPhase aPhase);
-  void OnUnknown(RequestTask& aTask);
-  void OnDropped(RequestTask& aTask, std::error_code aError, workers::RequestPhase aPhase);
+  void OnRequestUnknown(RequestTask& aTask);
+  void OnDropResult(RequestTask& aTask, std::error_code aError, workers::RequestPhase aPhase);
   void CheckIncarnation(RequestTask& aTask);
-  void OnSilent(RequestTask& aTask);
-  void Fetch(RequestTask& aTask);
+  void OnProbeFailed(RequestTask& aTask);
+  void FetchResponse(RequestTask& aTask);
   void DropAtWorker(RequestTask& aTask);
 
   // Claims (RouterClaims.h).
   void StartClaim(RequestTask& aTask);
   void OnClaim(RequestTask& aTask, const ClaimResult& aResult);
   void OnClaimExists(RequestTask& aTask);
-  void AskHolder(RequestTask& aTask);
-  void OnHolderAnswer(RequestTask& aTask, HolderAnswer aAnswer, FinalAnswer aFinal);
-  void ReadAgain(RequestTask& aTask, HolderAnswer aAnswer);
-  void OnUnchanged(RequestTask& aTask, HolderAnswer aAnswer);
-  void LookUp(const std::string& aKey, const std::string& aToken,
-              const typename ClaimResolver<Transport>::ReplyCallback& aReply);
-  void SettleClaim(const RequestTask& aTask, const FinalAnswer& aFinal, bool aWhole);
-  // Refuses a request that was not run once the release of its claim is recorded. If this node
-  // died between the refusal and the release, the caller's retry would get "outcome_unknown".
-  void SendAfterRelease(const TaskPtr& aTask, const FinalAnswer& aFinal);
+  void QueryHolder(RequestTask& aTask);
+  void OnHolderStatus(RequestTask& aTask, HolderStatus aHolderStatus, FinalResponse aFinal);
+  void RereadClaim(RequestTask& aTask, HolderStatus aHolderStatus);
+  void OnClaimUnchanged(RequestTask& aTask, HolderStatus aHolderStatus);
+  void AnswerClaimQuery(const std::string& aKey, const std::string& aToken,
+                        const typename ClaimResolver<Transport>::ReplyCallback& aReply);
+  void SettleClaim(const RequestTask& aTask, const FinalResponse& aFinal, bool aHasBody);
+  // Sends the refusal of a request that was not run once the release of its claim is recorded. If
+  // this node crashed after the refusal but before the release, the caller's retry would get
+  // "outcome_unknown".
+  void SendAfterRelease(const TaskPtr& aTask, const FinalResponse& aFinal);
   Claim NewClaim(const RequestTask& aTask);
 
-  // First, because the initializers of other members use it.
+  // Declared first, because the initializers of other members use it.
   std::shared_ptr<int> mAlive = std::make_shared<int>();
   EventLoop& mLoop;
   http::HttpClient& mClient;
@@ -191,17 +198,18 @@
   ReplicaPicker mPicker;
   AdmissionQueue mQueue;
   RetryBudget mBudget;
-  // By service; index 1 has the idempotent requests, which may use other replicas.
-  std::unordered_map<ServiceId, std::array<RunTimes, 2>> mTimes;
+  // By service. Index 0 holds the non-idempotent requests, index 1 the idempotent ones, which may
+  // also use reclaimable replicas.
+  std::unordered_map<ServiceId, std::array<RunTimeEstimator, 2>> mRunTimeEstimators;
   ClaimStore<Store> mClaims;
   ClaimResolver<Transport> mResolver;
-  KeptAnswers mKept;
+  ResponseCache mResponseCache;
   std::unordered_map<RequestNumber, TaskPtr> mTasks;
-  // Running requests by claim key.
-  std::unordered_map<std::string, RequestNumber> mByKey;
+  // By claim key, the request that other requests with the same key join.
+  std::unordered_map<std::string, RequestNumber> mPrimaryByKey;
   RequestNumber mLastNumber = 0;
   Bytes mBuffered;
-  std::function<void()> mDrained;
+  std::function<void()> mOnDrained;
   TimePoint mDrainEnd = TimePoint::max();
   std::function<bool()> mMaySend = [] { return true; };
   bool mDraining = false;
--- a/src/routing/RouterAdmission.h
+++ b/src/routing/RouterAdmission.h
@@ -1,7 +1,7 @@
 #pragma once
 
-// Admission in the Router: the queue, the refusal of requests that would wait too long, and
-// replicas.
+// Admission in the Router: the queue, the refusal of requests that would miss their deadline, and
+// the reservation of replicas.
 
 #include "routing/Router.h"
 
@@ -13,11 +13,12 @@
 {
   const auto& request = aTask.mRequest;
   aTask.SetState(RequestState::Queued);
-  // A request that was accepted once isn't refused because the queue has filled up since.
+  // The limit applies only to new requests: one that was accepted before isn't refused because the
+  // queue has filled up since.
   const auto limit = aIsNew ? request.mQueueLimit : SIZE_MAX;
   if (!mQueue.Push({ request.mAccount, request.mService, request.mIdempotent }, aTask.mNumber,
                    request.mWeight, limit)) {
-    Refuse(aTask, { 429, "queue_full", "too many requests of the account wait for the service",
+    Refuse(aTask, { 429, "queue_full", "the client account's queue for the service is full",
                     Ran::No, true, Duration(1000) });
     return;
   }
@@ -25,35 +26,36 @@
   if (aTask.State() != RequestState::Queued) {
     return;
   }
-  aTask.mWaited = true;
+  aTask.mWasQueued = true;
   const auto now = Now();
-  if (aIsNew && IsHopeless(aTask, now)) {
-    RefuseHopeless(aTask, "overloaded",
-                   "the request would have waited for a replica beyond its deadline");
+  if (aIsNew && WouldMissDeadline(aTask, now)) {
+    RefuseTooLate(aTask, "overloaded",
+                  "the expected wait for a replica leaves too little time before the deadline");
   }
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 bool
-Router<S, T, W>::IsHopeless(const RequestTask& aTask, TimePoint aNow) const
+Router<S, T, W>::WouldMissDeadline(const RequestTask& aTask, TimePoint aNow) const
 {
   const auto& request = aTask.mRequest;
-  const auto it = mTimes.find(request.mService);
-  if (it == mTimes.end()) {
+  const auto it = mRunTimeEstimators.find(request.mService);
+  if (it == mRunTimeEstimators.end()) {
     return false;
   }
-  const auto& times = it->second[request.mIdempotent ? 1 : 0];
-  const auto ahead = mQueue.Ahead({ request.mAccount, request.mService, request.mIdempotent });
-  // A quarter more than expected, because the estimate errs by a part of itself, and an answer that
-  // comes as late as the deadline misses it on the way to the caller.
-  const auto wait = times.Wait(ahead);
-  return wait && aNow + *wait * 5 / 4 + times.Typical() > aTask.mDeadline;
+  const auto& estimator = it->second[request.mIdempotent ? 1 : 0];
+  const auto ahead =
+    mQueue.RequestsAhead({ request.mAccount, request.mService, request.mIdempotent });
+  // Adds a quarter to the expected wait, because the error of the estimate is proportional to it,
+  // and because a response that is ready just at the deadline reaches the caller after it.
+  const auto wait = estimator.EstimateWait(ahead);
+  return wait && aNow + *wait * 5 / 4 + estimator.TypicalRunTime() > aTask.mDeadline;
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::RefuseHopeless(RequestTask& aTask, const std::string& aError,
-                                const std::string& aMessage)
+Router<S, T, W>::RefuseTooLate(RequestTask& aTask, const std::string& aError,
+                               const std::string& aMessage)
 {
   Refuse(aTask, { 503, aError, aMessage, Ran::No, true, Duration(1000) });
 }
@@ -66,8 +68,8 @@
     return;
   }
   const auto now = Now();
-  // Refused after the loop, because the end of a request may dispatch again.
-  std::vector<TaskPtr> hopeless;
+  // These are refused after the loop, because ending a request may call Dispatch() again.
+  std::vector<TaskPtr> tooLate;
   for (;;) {
     std::array<ReplicaPtr, 2> picked;
     const auto number = mQueue.Pop(aService, [&](bool aIdempotent) {
@@ -83,15 +85,16 @@
     if (!task) {
       continue;
     }
-    // A run that its deadline would cut uses a slot for nothing, and its outcome is unknown.
-    if (task->mWaited && !task->mMayHaveRun && now + TimesOf(*task).Mean() > task->mDeadline) {
-      hopeless.push_back(task);
+    // A run that its deadline would interrupt wastes a slot and leaves its outcome unknown.
+    if (task->mWasQueued && !task->mMayHaveRun &&
+        now + EstimatorOf(*task).MeanRunTime() > task->mDeadline) {
+      tooLate.push_back(task);
       continue;
     }
     const bool idempotent = task->mRequest.mIdempotent;
     auto replica = picked[idempotent ? 1 : 0];
-    if (replica->mHost->mWorker == task->mAvoid) {
-      replica = mPicker.Pick(aService, idempotent, task->mAvoid, now);
+    if (replica->mHost->mWorker == task->mAvoidWorker) {
+      replica = mPicker.Pick(aService, idempotent, task->mAvoidWorker, now);
     }
     ReserveReplica(*task, replica, now);
     if (idempotent || task->mRequest.mKey.empty() || task->mClaimHeld) {
@@ -100,8 +103,9 @@
       StartClaim(*task);
     }
   }
-  for (const auto& it : hopeless) {
-    RefuseHopeless(*it, "no_capacity", "the request waited until too little time was left for it");
+  for (const auto& it : tooLate) {
+    RefuseTooLate(*it, "no_capacity",
+                  "the time left after waiting for a replica is too short for the request");
   }
 }
 
@@ -123,8 +127,8 @@
 {
   if (const auto replica = std::exchange(aTask.mReplica, nullptr)) {
     ReplicaPicker::Release(*replica);
-    TimesOf(aTask).OnEnd(
-      std::chrono::duration_cast<std::chrono::microseconds>(Now() - aTask.mReserved));
+    EstimatorOf(aTask).RecordEnd(
+      std::chrono::duration_cast<std::chrono::microseconds>(Now() - aTask.mReservedAt));
   }
 }
 
@@ -134,15 +138,15 @@
 {
   ReplicaPicker::Reserve(*aReplica);
   aTask.mReplica = aReplica;
-  aTask.mReserved = aNow;
-  TimesOf(aTask).OnStart();
+  aTask.mReservedAt = aNow;
+  EstimatorOf(aTask).RecordStart();
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
-RunTimes&
-Router<S, T, W>::TimesOf(const RequestTask& aTask)
+RunTimeEstimator&
+Router<S, T, W>::EstimatorOf(const RequestTask& aTask)
 {
-  return mTimes[aTask.mRequest.mService][aTask.mRequest.mIdempotent ? 1 : 0];
+  return mRunTimeEstimators[aTask.mRequest.mService][aTask.mRequest.mIdempotent ? 1 : 0];
 }
 
 } // namespace lovagerock::routing
--- a/src/routing/RouterAttempts.h
+++ b/src/routing/RouterAttempts.h
@@ -1,6 +1,7 @@
 #pragma once
 
-// Attempts at workers in the Router: sending, the answer, and questions about silent requests.
+// Attempts at workers in the Router: sending requests, receiving responses, and probing workers
+// about requests without activity.
 
 #include "routing/Router.h"
 
@@ -13,7 +14,8 @@
   const auto now = Now();
   const auto& replica = *aTask.mReplica;
   ++aTask.mAttempt;
-  aTask.mNotRun = aTask.mCancelled = aTask.mSeen = aTask.mAnswerLost = aTask.mDropped = false;
+  aTask.mNotRun = aTask.mCancelled = aTask.mSeenByWorker = aTask.mResponseLost =
+    aTask.mTombstoneAfterStart = false;
   aTask.mDoneProbes = 0;
   aTask.mLastContact = now;
   auto& request = aTask.mRequest;
@@ -34,7 +36,8 @@
   call.mHeaders.Add("Lease-Id", replica.mLease.Value());
   call.mHeaders.Add("Request-Timeout-Ms", std::to_string(left));
   call.mHeaders.Add("Idempotent", request.mIdempotent ? "true" : "false");
-  // The client copies the body while the call is opened, so it is lent rather than copied twice.
+  // The HTTP client copies the body when the call is opened. Swapping it in and out avoids a second
+  // copy.
   call.mBody.swap(request.mBody);
   OpenCall(aTask, call);
   call.mBody.swap(request.mBody);
@@ -50,18 +53,20 @@
   aTask.mCallOpen = true;
   aTask.mLastActivity = Now();
   aTask.mFetching = aRequest.mMethod == http::Method::Get;
-  // The deadline of the request ends the call; this one is a margin behind it.
+  // The router ends the call at the request's deadline. The call's own deadline is 2 s later, as a
+  // fallback.
   aRequest.mDeadline =
     std::chrono::duration_cast<Duration>(aTask.mDeadline - aTask.mLastActivity) + Duration(2000);
   http::StreamCallbacks callbacks;
   callbacks.mOnHeaders =
     ForCall(aTask, [this](RequestTask& aCurrent, int aStatus, const http::Headers& aHeaders) {
-      OnHead(aCurrent, aStatus, aHeaders);
+      OnResponseHeaders(aCurrent, aStatus, aHeaders);
     });
-  callbacks.mOnData = ForCall(
-    aTask, [this](RequestTask& aCurrent, std::string_view aData) { OnData(aCurrent, aData); });
+  callbacks.mOnData = ForCall(aTask, [this](RequestTask& aCurrent, std::string_view aData) {
+    OnResponseData(aCurrent, aData);
+  });
   callbacks.mOnEnd = ForCall(
-    aTask, [this](RequestTask& aCurrent, std::error_code aError) { OnEnd(aCurrent, aError); });
+    aTask, [this](RequestTask& aCurrent, std::error_code aError) { OnCallEnd(aCurrent, aError); });
   aTask.mCall = mClient.Stream(aRequest, std::move(callbacks));
 }
 
@@ -69,7 +74,7 @@
 void
 Router<S, T, W>::CloseCall(RequestTask& aTask)
 {
-  // Results of the call and of questions about it are late from here on.
+  // From here on, results of the call and of probes about it are ignored as late.
   ++aTask.mGeneration;
   aTask.mProbeOpen = false;
   if (std::exchange(aTask.mCallOpen, false)) {
@@ -79,7 +84,7 @@
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnHead(RequestTask& aTask, int aStatus, const http::Headers& aHeaders)
+Router<S, T, W>::OnResponseHeaders(RequestTask& aTask, int aStatus, const http::Headers& aHeaders)
 {
   aTask.mLastActivity = aTask.mLastContact = Now();
   if (!aTask.mFetching && aStatus == 503 && aHeaders.Has("Not-Run")) {
@@ -87,13 +92,13 @@
     aTask.mCancelled = !aTask.mNotRun;
     return;
   }
-  aTask.mSeen = true;
+  aTask.mSeenByWorker = true;
   if (aTask.mFetching && aStatus == 404) {
-    aTask.mAnswerLost = true;
+    aTask.mResponseLost = true;
     return;
   }
-  aTask.TakeHeaders(aStatus, aHeaders);
-  if (aTask.IsAnswerStarted()) {
+  aTask.BeginResponse(aStatus, aHeaders);
+  if (aTask.IsResponseStarted()) {
     aTask.SetState(RequestState::Streaming);
   } else if (aTask.State() == RequestState::Probing) {
     aTask.SetState(RequestState::Sending);
@@ -102,94 +107,96 @@
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnData(RequestTask& aTask, std::string_view aData)
+Router<S, T, W>::OnResponseData(RequestTask& aTask, std::string_view aData)
 {
-  if (aTask.mNotRun || aTask.mCancelled || aTask.mAnswerLost) {
+  if (aTask.mNotRun || aTask.mCancelled || aTask.mResponseLost) {
     return;
   }
   aTask.mLastActivity = aTask.mLastContact = Now();
   if (aTask.State() == RequestState::Probing) {
-    aTask.SetState(aTask.IsAnswerStarted() ? RequestState::Streaming : RequestState::Sending);
+    aTask.SetState(aTask.IsResponseStarted() ? RequestState::Streaming : RequestState::Sending);
   }
-  aTask.TakeData(aData);
+  aTask.AppendToResponse(aData);
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnEnd(RequestTask& aTask, std::error_code aError)
+Router<S, T, W>::OnCallEnd(RequestTask& aTask, std::error_code aError)
 {
   aTask.mCallOpen = false;
   if (!aError) {
-    OnAnswerEnd(aTask);
+    OnResponseEnd(aTask);
   } else if (aTask.mFetching) {
-    // The answer is fetched again after the next question to the worker.
+    // If nothing has been sent to the caller yet, the response is fetched again after the next
+    // probe.
     aTask.mLastActivity = Now();
-    if (aTask.IsAnswerStarted()) {
-      OnCut(aTask);
+    if (aTask.IsResponseStarted()) {
+      OnConnectionLost(aTask);
     } else {
       aTask.SetState(RequestState::Probing);
     }
   } else if (aError == http::HttpError::NotSent) {
-    Report(aTask, false);
+    RecordOutcome(aTask, false);
     Retry(aTask, "not_sent", true);
   } else {
-    Report(aTask, false);
-    OnCut(aTask);
+    RecordOutcome(aTask, false);
+    OnConnectionLost(aTask);
   }
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnAnswerEnd(RequestTask& aTask)
+Router<S, T, W>::OnResponseEnd(RequestTask& aTask)
 {
   const bool idempotent = aTask.mRequest.mIdempotent;
   if (aTask.mNotRun) {
     Retry(aTask, "not_run", true);
   } else if (aTask.mCancelled && !idempotent) {
-    Refuse(aTask, { 503, "cancelled", "the worker cancelled the request while it ran", Ran::Partly,
+    Refuse(aTask, { 503, "cancelled", "the worker cancelled the request while it was running",
+                    Ran::Partly, false, Duration(0) });
+  } else if (aTask.mResponseLost && !idempotent) {
+    Refuse(aTask, { 502, "answer_lost", "the worker no longer has the response", Ran::Unknown,
                     false, Duration(0) });
-  } else if (aTask.mAnswerLost && !idempotent) {
-    Refuse(aTask, { 502, "answer_lost", "the worker no longer has the answer", Ran::Unknown, false,
-                    Duration(0) });
-  } else if (aTask.mCancelled || aTask.mAnswerLost) {
+  } else if (aTask.mCancelled || aTask.mResponseLost) {
     Retry(aTask, aTask.mCancelled ? "cancelled" : "answer_lost", false);
   } else {
-    Report(aTask, aTask.AnswerStatus() < 500);
-    TimesOf(aTask).OnAnswered(
-      std::chrono::duration_cast<std::chrono::microseconds>(Now() - aTask.mReserved));
-    Finish(aTask, aTask.TakeAnswer());
+    RecordOutcome(aTask, aTask.ResponseStatus() < 500);
+    EstimatorOf(aTask).RecordRunTime(
+      std::chrono::duration_cast<std::chrono::microseconds>(Now() - aTask.mReservedAt));
+    Finish(aTask, aTask.TakeResponse());
   }
 }
 
-// The worker's connection ended before the answer was complete.
+// Handles the loss of the worker's connection, or of the rest of its response, before the response
+// was complete.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnCut(RequestTask& aTask)
+Router<S, T, W>::OnConnectionLost(RequestTask& aTask)
 {
   const auto& request = aTask.mRequest;
-  if (aTask.IsAnswerStarted()) {
+  if (aTask.IsResponseStarted()) {
     aTask.AbortCaller();
     if (request.mKey.empty() || request.mIdempotent) {
-      Refuse(aTask, { 502, "answer_cut", "the answer was cut", Ran::Unknown, request.mIdempotent,
-                      Duration(0) });
+      Refuse(aTask, { 502, "answer_cut", "the worker's response was truncated", Ran::Unknown,
+                      request.mIdempotent, Duration(0) });
       return;
     }
-    // The whole answer is still fetched for a retry with the same key.
+    // The complete response is still fetched from the worker, for a retry with the same key.
   } else if (request.mIdempotent) {
     Retry(aTask, "connection_lost", false);
     return;
   }
-  aTask.ResetAnswer();
+  aTask.ResetResponse();
   aTask.mLastActivity = Now();
   Probe(aTask);
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::Report(RequestTask& aTask, bool aSuccess)
+Router<S, T, W>::RecordOutcome(RequestTask& aTask, bool aSuccess)
 {
   auto& host = *aTask.mReplica->mHost;
-  if (mPicker.Report(host, aSuccess, Now())) {
+  if (mPicker.RecordOutcome(host, aSuccess, Now())) {
     mMetrics.AddEjection();
     LogEvent("worker_ejected", LogLevel::Warning).With("worker", host.mWorker);
   }
@@ -213,7 +220,7 @@
 {
   aTask.mProbeOpen = false;
   if (aError) {
-    OnSilent(aTask);
+    OnProbeFailed(aTask);
     return;
   }
   aTask.mLastContact = Now();
@@ -224,71 +231,76 @@
                    : aPhase == workers::RequestPhase::Done  ? "done"
                                                             : "unknown");
   if (aPhase == workers::RequestPhase::Unknown) {
-    OnUnknown(aTask);
+    OnRequestUnknown(aTask);
     return;
   }
-  aTask.mSeen = true;
+  aTask.mSeenByWorker = true;
   if (aPhase == workers::RequestPhase::Running) {
     aTask.mDoneProbes = 0;
-  } else if (!aTask.IsAnswerStarted()) {
-    Fetch(aTask);
+  } else if (!aTask.IsResponseStarted()) {
+    FetchResponse(aTask);
   } else if (++aTask.mDoneProbes > 1) {
-    // The rest of a streamed answer may be on its way at the first such probe, not at the second.
+    // At the first such probe, the rest of a streamed response may still be in transit; at the
+    // second, it is lost.
     CloseCall(aTask);
-    OnCut(aTask);
+    OnConnectionLost(aTask);
   }
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnUnknown(RequestTask& aTask)
+Router<S, T, W>::OnRequestUnknown(RequestTask& aTask)
 {
-  if (aTask.IsAnswerStarted() && aTask.mRequest.mIdempotent) {
-    // The rest of the answer can't come any more, and the caller can't take another one.
+  if (aTask.IsResponseStarted() && aTask.mRequest.mIdempotent) {
+    // The rest of the response won't arrive, and the caller can't be sent another one.
     CloseCall(aTask);
-    OnCut(aTask);
-  } else if (aTask.mSeen && aTask.mRequest.mIdempotent) {
+    OnConnectionLost(aTask);
+  } else if (aTask.mSeenByWorker && aTask.mRequest.mIdempotent) {
     Retry(aTask, "answer_lost", false);
-  } else if (aTask.mSeen) {
+  } else if (aTask.mSeenByWorker) {
     CloseCall(aTask);
-    Refuse(aTask, { 502, "answer_lost", "the worker no longer knows the request",
-                    aTask.mDropped ? Ran::Partly : Ran::Unknown, false, Duration(0) });
+    Refuse(aTask, { 502, "answer_lost", "the worker no longer has a record of the request",
+                    aTask.mTombstoneAfterStart ? Ran::Partly : Ran::Unknown, false, Duration(0) });
   } else {
     aTask.mProbeOpen = true;
     mWorkers.DropRequest(aTask.mReplica->mHost->mAddress, aTask.AttemptId(),
                          ForCall(aTask, [this](RequestTask& aCurrent, std::error_code aError,
                                                workers::RequestPhase aPhase) {
-                           OnDropped(aCurrent, aError, aPhase);
+                           OnDropResult(aCurrent, aError, aPhase);
                          }));
   }
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnDropped(RequestTask& aTask, std::error_code aError, workers::RequestPhase aPhase)
+Router<S, T, W>::OnDropResult(RequestTask& aTask, std::error_code aError,
+                              workers::RequestPhase aPhase)
 {
   aTask.mProbeOpen = false;
   if (aError) {
-    OnSilent(aTask);
-  } else if (aPhase == workers::RequestPhase::Unknown && aTask.mSeen) {
-    // The answer began to arrive while the tombstone was set.
-    OnUnknown(aTask);
+    OnProbeFailed(aTask);
+  } else if (aPhase == workers::RequestPhase::Unknown && aTask.mSeenByWorker) {
+    // The response began to arrive while the tombstone was being set.
+    OnRequestUnknown(aTask);
   } else if (aPhase == workers::RequestPhase::Unknown && aTask.mRequest.mIdempotent) {
-    // A restarted worker doesn't know what it ran before, so this doesn't prove "not run".
+    // A restarted worker doesn't know what it ran before, so the attempt may have run.
     Retry(aTask, "unknown_at_worker", false);
   } else if (aPhase == workers::RequestPhase::Unknown) {
     CheckIncarnation(aTask);
   } else {
-    // The request arrived between the question and the tombstone, and is now cancelled.
-    aTask.mSeen = true;
-    aTask.mDropped = aPhase == workers::RequestPhase::Running;
+    // The request arrived at the worker between the probe and the tombstone. The tombstone
+    // cancelled it if it was still running.
+    aTask.mSeenByWorker = true;
+    aTask.mTombstoneAfterStart = aPhase == workers::RequestPhase::Running;
     if (aTask.mRequest.mIdempotent) {
       Retry(aTask, "cancelled", false);
     }
   }
 }
 
-// A worker that was restarted doesn't know what it ran before, so its "unknown" proves nothing.
+// Handles a worker that doesn't know a non-idempotent attempt. This proves that the attempt was not
+// run only if the worker hasn't been restarted since, because a restarted worker doesn't know what
+// it ran before.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
 Router<S, T, W>::CheckIncarnation(RequestTask& aTask)
@@ -300,33 +312,35 @@
                   aCurrent.mProbeOpen = false;
                   const auto& state = aAnswer.mState;
                   if (aError || !state) {
-                    OnSilent(aCurrent);
-                  } else if (aCurrent.mSeen) {
-                    OnUnknown(aCurrent);
+                    OnProbeFailed(aCurrent);
+                  } else if (aCurrent.mSeenByWorker) {
+                    OnRequestUnknown(aCurrent);
                   } else if (state->mIncarnation == aCurrent.mReplica->mHost->mIncarnation) {
                     Retry(aCurrent, "unknown_at_worker", true);
                   } else {
                     CloseCall(aCurrent);
                     Refuse(aCurrent,
-                           { 502, "worker_restarted", "the worker was restarted meanwhile",
+                           { 502, "worker_restarted",
+                             "the worker was restarted after the request was routed to it",
                              Ran::Unknown, false, Duration(0) });
                   }
                 }));
 }
 
-// The worker didn't answer a question. Non-idempotent requests wait for their deadline.
+// Handles a probe that got no response. Idempotent requests are retried after mUnresponsiveLimit;
+// non-idempotent ones wait until their deadline.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnSilent(RequestTask& aTask)
+Router<S, T, W>::OnProbeFailed(RequestTask& aTask)
 {
-  if (!aTask.mRequest.mIdempotent || Now() < aTask.mLastContact + mOptions.mSilentLimit) {
+  if (!aTask.mRequest.mIdempotent || Now() < aTask.mLastContact + mOptions.mUnresponsiveLimit) {
     return;
   }
-  Report(aTask, false);
+  RecordOutcome(aTask, false);
   DropAtWorker(aTask);
   CloseCall(aTask);
-  if (aTask.IsAnswerStarted()) {
-    OnCut(aTask);
+  if (aTask.IsResponseStarted()) {
+    OnConnectionLost(aTask);
   } else {
     Retry(aTask, "worker_silent", false);
   }
@@ -334,10 +348,10 @@
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::Fetch(RequestTask& aTask)
+Router<S, T, W>::FetchResponse(RequestTask& aTask)
 {
   CloseCall(aTask);
-  aTask.ResetAnswer();
+  aTask.ResetResponse();
   http::ClientRequest call;
   call.mServer = aTask.mReplica->mHost->mAddress;
   call.mTarget = "/v1/requests/" + aTask.AttemptId().Value() + "/answer";
@@ -345,7 +359,7 @@
   OpenCall(aTask, call);
 }
 
-// Frees the worker of an attempt whose outcome doesn't matter any more.
+// Cancels an attempt at its worker when its outcome no longer matters.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
 Router<S, T, W>::DropAtWorker(RequestTask& aTask)
--- a/src/routing/RouterClaims.h
+++ b/src/routing/RouterClaims.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Claims of keyed non-idempotent requests in the Router.
+// Claims of non-idempotent requests with an idempotency key in the Router.
 
 #include "routing/Router.h"
 
@@ -36,7 +36,7 @@
     if (const auto task = Find(number)) {
       OnClaim(*task, aResult);
     } else if (aResult.mKind == ClaimResult::Kind::Held) {
-      // The request ended while it waited for the claim, so it was never sent.
+      // The request ended while the claim was being acquired, so it was never sent.
       auto claim = aResult.mClaim;
       claim.mState = ClaimState::Released;
       mClaims.Settle(key, std::move(claim), aResult.mIndex);
@@ -72,9 +72,10 @@
       return;
     case ClaimResult::Kind::Unavailable:
       mMetrics.AddClaim("unavailable");
-      Refuse(aTask, { 503, "claims_unavailable",
-                      "the key-value service is needed for this request and gives no answer",
-                      Ran::No, true, Duration(2000) });
+      Refuse(aTask,
+             { 503, "claims_unavailable",
+               "the idempotency key can't be claimed because the key-value service is unavailable",
+               Ran::No, true, Duration(2000) });
       return;
   }
 }
@@ -88,147 +89,154 @@
   if (claim.mState == ClaimState::Released) {
     Enqueue(aTask, false);
   } else if (claim.mFingerprint != aTask.mFingerprint) {
-    Refuse(aTask, { 422, "key_reused", "the idempotency key belongs to a different request",
+    Refuse(aTask, { 422, "key_reused", "the idempotency key was used for a different request",
                     Ran::No, false, Duration(0) });
-  } else if (claim.mAnswer) {
-    Finish(aTask, *claim.mAnswer);
+  } else if (claim.mFinalResponse) {
+    Finish(aTask, *claim.mFinalResponse);
   } else {
-    AskHolder(aTask);
+    QueryHolder(aTask);
   }
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::AskHolder(RequestTask& aTask)
+Router<S, T, W>::QueryHolder(RequestTask& aTask)
 {
-  const auto onAnswer =
-    Guarded([this, number = aTask.mNumber](HolderAnswer aAnswer, const FinalAnswer& aFinal) {
+  const auto onStatus = Guarded(
+    [this, number = aTask.mNumber](HolderStatus aHolderStatus, const FinalResponse& aFinal) {
       if (const auto task = Find(number)) {
-        OnHolderAnswer(*task, aAnswer, aFinal);
+        OnHolderStatus(*task, aHolderStatus, aFinal);
       }
     });
   const auto& claim = *aTask.mClaim;
   if (claim.mNode != mOptions.mNode) {
-    mResolver.Ask(aTask.mClaimKey, claim, onAnswer);
+    mResolver.Query(aTask.mClaimKey, claim, onStatus);
   } else if (claim.mIncarnation == mOptions.mIncarnation) {
-    LookUp(aTask.mClaimKey, claim.mToken, onAnswer);
+    AnswerClaimQuery(aTask.mClaimKey, claim.mToken, onStatus);
   } else {
-    OnHolderAnswer(aTask, HolderAnswer::Unknown, {});
+    OnHolderStatus(aTask, HolderStatus::Unknown, {});
   }
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnHolderAnswer(RequestTask& aTask, HolderAnswer aAnswer, FinalAnswer aFinal)
+Router<S, T, W>::OnHolderStatus(RequestTask& aTask, HolderStatus aHolderStatus,
+                                FinalResponse aFinal)
 {
   LogEvent("claim_holder_asked")
     .With("request", aTask.mRequest.mId)
     .With("holder", aTask.mClaim->mNode)
     .With("holder_request", aTask.mClaim->mRequest)
-    .With("answer", HolderAnswerName(aAnswer));
-  if (aAnswer == HolderAnswer::Done) {
+    .With("answer", HolderStatusName(aHolderStatus));
+  if (aHolderStatus == HolderStatus::Done) {
     Finish(aTask, std::move(aFinal));
   } else {
-    ReadAgain(aTask, aAnswer);
+    RereadClaim(aTask, aHolderStatus);
   }
 }
 
-// The claim may have been settled since it was read.
+// Reads the claim again, because it may have been settled since it was last read, and continues
+// with the request accordingly.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::ReadAgain(RequestTask& aTask, HolderAnswer aAnswer)
+Router<S, T, W>::RereadClaim(RequestTask& aTask, HolderStatus aHolderStatus)
 {
-  mClaims.Read(aTask.mClaimKey,
-               Guarded([this, number = aTask.mNumber, aAnswer](std::error_code aError,
-                                                               const std::optional<Claim>& aClaim,
-                                                               kv::ModifyIndex aIndex) {
-                 const auto task = Find(number);
-                 if (!task) {
-                   return;
-                 }
-                 if (aError || aIndex == task->mClaimIndex || (aIndex != 0 && !aClaim)) {
-                   OnUnchanged(*task, aAnswer);
-                 } else if (aIndex == 0) {
-                   task->mClaimIndex = 0;
-                   task->mMayHaveRun = false;
-                   Enqueue(*task, false);
-                 } else {
-                   task->mClaim = aClaim;
-                   task->mClaimIndex = aIndex;
-                   OnClaimExists(*task);
-                 }
-               }));
+  mClaims.Read(
+    aTask.mClaimKey,
+    Guarded([this, number = aTask.mNumber, aHolderStatus](
+              std::error_code aError, const std::optional<Claim>& aClaim, kv::ModifyIndex aIndex) {
+      const auto task = Find(number);
+      if (!task) {
+        return;
+      }
+      if (aError || aIndex == task->mClaimIndex || (aIndex != 0 && !aClaim)) {
+        OnClaimUnchanged(*task, aHolderStatus);
+      } else if (aIndex == 0) {
+        task->mClaimIndex = 0;
+        task->mMayHaveRun = false;
+        Enqueue(*task, false);
+      } else {
+        task->mClaim = aClaim;
+        task->mClaimIndex = aIndex;
+        OnClaimExists(*task);
+      }
+    }));
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnUnchanged(RequestTask& aTask, HolderAnswer aAnswer)
+Router<S, T, W>::OnClaimUnchanged(RequestTask& aTask, HolderStatus aHolderStatus)
 {
-  // Questions without an answer before the holder is taken to be gone.
+  // Queries without a reply after which the holder is considered gone.
   constexpr int kMaxUnreachable = 3;
-  constexpr Duration kAskInterval{ 200 };
-  const bool gone = aAnswer == HolderAnswer::Unreachable && ++aTask.mUnreachable >= kMaxUnreachable;
-  if (aAnswer != HolderAnswer::Unknown && !gone) {
-    aTask.mRetryAt = Now() + kAskInterval;
+  constexpr Duration kQueryInterval{ 200 };
+  const bool gone =
+    aHolderStatus == HolderStatus::Unreachable && ++aTask.mUnreachableQueries >= kMaxUnreachable;
+  if (aHolderStatus != HolderStatus::Unknown && !gone) {
+    aTask.mRetryAt = Now() + kQueryInterval;
     Schedule(aTask, aTask.mRetryAt);
     return;
   }
   if (aTask.mClaim->mState == ClaimState::Done) {
-    Refuse(aTask, { 409, "answer_not_kept", "the request was run and its answer is no longer held",
-                    Ran::Unknown, false, Duration(0) });
+    Refuse(aTask,
+           { 409, "answer_not_kept", "the request was run, but its response is no longer stored",
+             Ran::Unknown, false, Duration(0) });
     return;
   }
-  Refuse(aTask, { 409, "outcome_unknown", "the node that ran the request with this key is gone",
+  Refuse(aTask, { 409, "outcome_unknown",
+                  "the node that handled the request with this key is gone or was restarted",
                   Ran::Unknown, false, Duration(0) });
 }
 
-// Answers for a claim of this node, at once or after kHoldTime at the latest.
+// Reports the status of a request whose claim this node holds. While the request is running here,
+// replies when it ends or after kMaxReplyDelay; otherwise at once.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::LookUp(const std::string& aKey, const std::string& aToken,
-                        const typename ClaimResolver<T>::ReplyCallback& aReply)
+Router<S, T, W>::AnswerClaimQuery(const std::string& aKey, const std::string& aToken,
+                                  const typename ClaimResolver<T>::ReplyCallback& aReply)
 {
   struct Waiter
   {
     typename ClaimResolver<T>::ReplyCallback mReply;
     Timer mTimeout;
 
-    void Reply(HolderAnswer aAnswer, const FinalAnswer& aFinal)
+    void Reply(HolderStatus aHolderStatus, const FinalResponse& aFinal)
     {
       if (const auto reply = std::exchange(mReply, nullptr)) {
         mTimeout.Cancel();
-        reply(aAnswer, aFinal);
+        reply(aHolderStatus, aFinal);
       }
     }
   };
-  const auto it = mByKey.find(aKey);
-  const auto task = it == mByKey.end() ? nullptr : Find(it->second);
-  const auto* kept = mKept.Find(aKey);
+  const auto it = mPrimaryByKey.find(aKey);
+  const auto task = it == mPrimaryByKey.end() ? nullptr : Find(it->second);
+  const auto* cached = mResponseCache.Find(aKey);
   if (task && task->mClaimHeld && task->mClaim->mToken == aToken) {
     const auto waiter = std::make_shared<Waiter>();
     waiter->mReply = aReply;
     waiter->mTimeout =
-      mLoop.After(ClaimResolver<T>::kHoldTime, [weak = std::weak_ptr<Waiter>(waiter)] {
+      mLoop.After(ClaimResolver<T>::kMaxReplyDelay, [weak = std::weak_ptr<Waiter>(waiter)] {
         if (const auto locked = weak.lock()) {
-          locked->Reply(HolderAnswer::InProgress, {});
+          locked->Reply(HolderStatus::InProgress, {});
         }
       });
-    task->mJoiners.emplace_back([waiter](const FinalAnswer& aFinal) {
-      // The release of a request that was not run must be recorded before the key runs again.
-      waiter->Reply(aFinal.mNotRun ? HolderAnswer::InProgress : HolderAnswer::Done, aFinal);
+    task->mJoiners.emplace_back([waiter](const FinalResponse& aFinal) {
+      // InProgress for a request that was not run, because the release of its claim must be
+      // recorded before another request with the key may run.
+      waiter->Reply(aFinal.mNotRun ? HolderStatus::InProgress : HolderStatus::Done, aFinal);
     });
-  } else if (kept && kept->mToken == aToken) {
-    aReply(HolderAnswer::Done, kept->mAnswer);
+  } else if (cached && cached->mToken == aToken) {
+    aReply(HolderStatus::Done, cached->mFinalResponse);
   } else if (mClaims.IsUnsettled(aToken)) {
-    aReply(HolderAnswer::InProgress, {});
+    aReply(HolderStatus::InProgress, {});
   } else {
-    aReply(HolderAnswer::Unknown, {});
+    aReply(HolderStatus::Unknown, {});
   }
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::SettleClaim(const RequestTask& aTask, const FinalAnswer& aFinal, bool aWhole)
+Router<S, T, W>::SettleClaim(const RequestTask& aTask, const FinalResponse& aFinal, bool aHasBody)
 {
   if (!aTask.mClaimHeld) {
     return;
@@ -237,27 +245,27 @@
   const auto& body = aFinal.mResponse.mBody;
   claim.mState = ClaimState::Done;
   claim.mStatus = aFinal.mResponse.mStatus;
-  if (aWhole) {
+  if (aHasBody) {
     claim.mDigest = Sha256Hex(body);
-    mKept.Add(aTask.mClaimKey, { claim.mToken, claim.mFingerprint, aFinal });
+    mResponseCache.Add(aTask.mClaimKey, { claim.mToken, claim.mFingerprint, aFinal });
   }
-  if (aWhole && body.size() <= kMaxRecordedAnswer) {
-    claim.mAnswer = aFinal;
+  if (aHasBody && body.size() <= kMaxRecordedBodyBytes) {
+    claim.mFinalResponse = aFinal;
   }
   mClaims.Settle(aTask.mClaimKey, std::move(claim), aTask.mClaimIndex);
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::SendAfterRelease(const TaskPtr& aTask, const FinalAnswer& aFinal)
+Router<S, T, W>::SendAfterRelease(const TaskPtr& aTask, const FinalResponse& aFinal)
 {
-  // An outage of the key-value service delays the refusal by this much only. While this node lives,
-  // it tells other nodes that the release is on its way.
+  // Limits how long an outage of the key-value service delays the refusal. Until the release is
+  // recorded, this node reports InProgress to nodes that query the claim.
   constexpr Duration kReleaseWait{ 500 };
-  struct Refused
+  struct PendingRefusal
   {
     TaskPtr mTask;
-    FinalAnswer mFinal;
+    FinalResponse mFinal;
     Timer mLimit;
 
     void Send()
@@ -270,16 +278,16 @@
   };
   auto claim = *aTask->mClaim;
   claim.mState = ClaimState::Released;
-  const auto refused = std::make_shared<Refused>();
-  refused->mTask = aTask;
-  refused->mFinal = aFinal;
-  refused->mLimit = mLoop.After(kReleaseWait, [weak = std::weak_ptr<Refused>(refused)] {
+  const auto pending = std::make_shared<PendingRefusal>();
+  pending->mTask = aTask;
+  pending->mFinal = aFinal;
+  pending->mLimit = mLoop.After(kReleaseWait, [weak = std::weak_ptr<PendingRefusal>(pending)] {
     if (const auto locked = weak.lock()) {
       locked->Send();
     }
   });
   mClaims.Settle(aTask->mClaimKey, std::move(claim), aTask->mClaimIndex,
-                 [refused] { refused->Send(); });
+                 [pending] { pending->Send(); });
 }
 
 } // namespace lovagerock::routing
--- a/src/routing/RouterRequests.h
+++ b/src/routing/RouterRequests.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The life of a request in the Router: arrival, retries, deadlines and the final answer.
+// The life cycle of a request in the Router: arrival, retries, deadlines and the final response.
 
 #include "routing/Router.h"
 
@@ -23,7 +23,7 @@
   , mClaims(aLoop, aStore)
   , mResolver(aTransport, Guarded([this](const std::string& aKey, const std::string& aToken,
                                          const typename ClaimResolver<T>::ReplyCallback& aReply) {
-                LookUp(aKey, aToken, aReply);
+                AnswerClaimQuery(aKey, aToken, aReply);
               }))
   , mWheel(aLoop, [this](RequestNumber aNumber) { OnWake(aNumber); })
 {
@@ -34,19 +34,21 @@
 Router<S, T, W>::Submit(RouteRequest aRequest, const http::Responder& aResponder)
 {
   const Bytes size(static_cast<std::int64_t>(aRequest.mBody.size()));
-  // Not make_shared: a weak reference must not keep the memory of an ended request.
+  // Not make_shared, because weak references would then keep the memory of an ended request
+  // allocated.
   const TaskPtr task(
     new RequestTask(++mLastNumber, std::move(aRequest), aResponder, Now())); // NOLINT
   const auto& request = task->mRequest;
   mTasks.emplace(task->mNumber, task);
   mBuffered += size;
   if (mDraining) {
-    Refuse(*task, { 503, "draining", "this node is stopping", Ran::No, true, Duration(1000) });
+    Refuse(*task, { 503, "draining", "this node is shutting down", Ran::No, true, Duration(1000) });
     return;
   }
   if (mBuffered.Value() > mOptions.mMaxBuffered.Value()) {
-    Refuse(*task, { 503, "node_busy", "too many request bodies are held on this node", Ran::No,
-                    true, Duration(1000) });
+    Refuse(*task,
+           { 503, "node_busy", "the request bodies held by this node exceed its memory limit",
+             Ran::No, true, Duration(1000) });
     return;
   }
   aResponder.OnHungUp(Guarded([this, number = task->mNumber] {
@@ -55,7 +57,7 @@
     }
   }));
   mBudget.AddRequest();
-  Schedule(*task, std::min(task->mDeadline, task->mStarted + mOptions.mProbeInterval));
+  Schedule(*task, std::min(task->mDeadline, task->mArrivedAt + mOptions.mProbeInterval));
   if (!request.mKey.empty() && JoinByKey(*task)) {
     return;
   }
@@ -94,7 +96,7 @@
 Router<S, T, W>::Drain(std::function<void()> aCallback)
 {
   mDraining = true;
-  mDrained = std::move(aCallback);
+  mOnDrained = std::move(aCallback);
   mDrainTimer = mLoop.Every(Duration(20), [this] { CheckDrained(); });
 }
 
@@ -111,7 +113,7 @@
   }
   LogEvent("requests_drained").With("unsettled_claims", std::to_string(mClaims.Unsettled()));
   mDrainTimer.Cancel();
-  if (const auto callback = std::exchange(mDrained, nullptr)) {
+  if (const auto callback = std::exchange(mOnDrained, nullptr)) {
     callback();
   }
 }
@@ -124,7 +126,9 @@
   return it == mTasks.end() ? nullptr : it->second;
 }
 
-// True if another request with the key gives or gave the answer.
+// Answers the request from another one with the same idempotency key: joins the one in progress or
+// uses its cached response, or refuses the request if the key was used for a different one. Returns
+// false if the request must be run.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 bool
 Router<S, T, W>::JoinByKey(RequestTask& aTask)
@@ -133,23 +137,24 @@
   aTask.mClaimKey =
     mOptions.mClaimPrefix + request.mAccount.Value() + "/" + Sha256Hex(request.mKey);
   aTask.mFingerprint = Sha256Hex(request.mService.Value() + "\n" + request.mBody);
-  const auto [it, isFirst] = mByKey.emplace(aTask.mClaimKey, aTask.mNumber);
+  const auto [it, isFirst] = mPrimaryByKey.emplace(aTask.mClaimKey, aTask.mNumber);
   const auto primary = isFirst ? nullptr : Find(it->second);
-  const auto* kept = isFirst && !request.mIdempotent ? mKept.Find(aTask.mClaimKey) : nullptr;
-  const auto& fingerprint = primary ? primary->mFingerprint
-                            : kept  ? kept->mFingerprint
-                                    : aTask.mFingerprint;
+  const auto* cached =
+    isFirst && !request.mIdempotent ? mResponseCache.Find(aTask.mClaimKey) : nullptr;
+  const auto& fingerprint = primary  ? primary->mFingerprint
+                            : cached ? cached->mFingerprint
+                                     : aTask.mFingerprint;
   if (fingerprint != aTask.mFingerprint) {
-    Refuse(aTask, { 422, "key_reused", "the idempotency key belongs to a different request",
+    Refuse(aTask, { 422, "key_reused", "the idempotency key was used for a different request",
                     Ran::No, false, Duration(0) });
     return true;
   }
   if (primary) {
     Join(aTask, *primary);
-  } else if (kept) {
-    Finish(aTask, kept->mAnswer);
+  } else if (cached) {
+    Finish(aTask, cached->mFinalResponse);
   }
-  return primary || kept;
+  return primary || cached;
 }
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
@@ -161,7 +166,7 @@
     .With("running", aPrimary.mRequest.mId);
   aTask.SetState(RequestState::Claiming);
   aTask.mMayHaveRun = true;
-  aPrimary.mJoiners.emplace_back([this, number = aTask.mNumber](const FinalAnswer& aFinal) {
+  aPrimary.mJoiners.emplace_back([this, number = aTask.mNumber](const FinalResponse& aFinal) {
     if (const auto task = Find(number)) {
       Finish(*task, aFinal);
     }
@@ -192,7 +197,7 @@
     OnDeadline(*task);
     return;
   }
-  OnDue(*task, now);
+  RunDueAction(*task, now);
   if (task->State() == RequestState::Done) {
     return;
   }
@@ -205,18 +210,18 @@
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::OnDue(RequestTask& aTask, TimePoint aNow)
+Router<S, T, W>::RunDueAction(RequestTask& aTask, TimePoint aNow)
 {
   const bool due = aTask.mRetryAt != TimePoint() && aTask.mRetryAt <= aNow;
   if (aTask.State() == RequestState::Queued) {
-    // An ejection may have ended without another event.
+    // An ejection ends without an event, so the queue is dispatched again here.
     Dispatch(aTask.mRequest.mService);
   } else if (aTask.State() == RequestState::Retrying && due) {
     aTask.mRetryAt = {};
     Enqueue(aTask, false);
   } else if (aTask.State() == RequestState::Claiming && due) {
     aTask.mRetryAt = {};
-    AskHolder(aTask);
+    QueryHolder(aTask);
   } else if (aTask.IsAtWorker() && !aTask.mProbeOpen && !aTask.IsPaused() &&
              aNow >= aTask.mLastActivity + mOptions.mProbeInterval) {
     Probe(aTask);
@@ -229,8 +234,8 @@
 {
   const bool atWorker = aTask.IsAtWorker();
   if (atWorker) {
-    TimesOf(aTask).OnCutOff(
-      std::chrono::duration_cast<std::chrono::microseconds>(Now() - aTask.mReserved));
+    EstimatorOf(aTask).RecordDeadlineExceeded(
+      std::chrono::duration_cast<std::chrono::microseconds>(Now() - aTask.mReservedAt));
     DropAtWorker(aTask);
     CloseCall(aTask);
   }
@@ -241,13 +246,14 @@
              "the deadline passed before the request was run", Ran::No, true, Duration(1000) });
     return;
   }
-  Refuse(aTask, { 504, "deadline_exceeded", "the deadline passed before the answer was complete",
+  Refuse(aTask, { 504, "deadline_exceeded", "the deadline passed before the response was complete",
                   Ran::Unknown, aTask.mRequest.mIdempotent, Duration(1000) });
 }
 
-// Ends a request whose answer nobody can get any more. Goes on with a keyed request that may run,
-// because a retry may fetch its answer, and with a non-idempotent one that may run, because half of
-// its effect may do more harm than all of it.
+// Handles the disconnection of the caller. Ends the request if nobody can receive its response any
+// more. Continues a request that may have run if it has an idempotency key, because a retry may ask
+// for its response, or if it is non-idempotent, because a partial effect may do more harm than the
+// complete one.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
 Router<S, T, W>::OnCallerGone(RequestTask& aTask)
@@ -272,14 +278,15 @@
                   notRun ? Ran::No : Ran::Unknown, true, Duration(0) });
 }
 
-// Gives the attempt up and plans another one; aNotRun tells that the attempt is known not to run.
+// Abandons the attempt and schedules another one, or refuses the request if none is possible.
+// aNotRun tells whether the attempt is known not to have run.
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
 Router<S, T, W>::Retry(RequestTask& aTask, std::string aReason, bool aNotRun)
 {
   CloseCall(aTask);
   if (aTask.mReplica) {
-    aTask.mAvoid = aTask.mReplica->mHost->mWorker;
+    aTask.mAvoidWorker = aTask.mReplica->mHost->mWorker;
   }
   ReleaseReplica(aTask);
   aTask.mMayHaveRun = aTask.mMayHaveRun || !aNotRun;
@@ -289,13 +296,13 @@
   const auto retryAt = now + RetryBudget::Backoff(aTask.mAttempt, mRandom);
   if ((!idempotent && aTask.mMayHaveRun) || retryAt >= aTask.mDeadline || !mBudget.TakeRetry(now)) {
     Refuse(aTask, { aNotRun ? 503 : 502, std::move(aReason),
-                    "the attempt at the worker failed and no other attempt is possible", ran,
+                    "the attempt at the worker failed and can't be retried", ran,
                     idempotent || ran == Ran::No, Duration(1000) });
     DispatchAll();
     return;
   }
   mMetrics.AddRetry(aTask.mRequest.mService);
-  aTask.ResetAnswer();
+  aTask.ResetResponse();
   aTask.mRetryReason = std::move(aReason);
   aTask.mRetryAt = retryAt;
   aTask.SetState(RequestState::Retrying);
@@ -307,7 +314,7 @@
 void
 Router<S, T, W>::Refuse(RequestTask& aTask, const Refusal& aRefusal)
 {
-  if (aTask.IsAnswerStarted()) {
+  if (aTask.IsResponseStarted()) {
     aTask.AbortCaller();
   }
   Finish(aTask, { aRefusal.mError, RefusalResponse(aRefusal, aTask.mRequest.mId),
@@ -316,7 +323,7 @@
 
 template<kv::KeyValueStore S, peer::PeerTransport T, RequestWorkers W>
 void
-Router<S, T, W>::Finish(RequestTask& aTask, FinalAnswer aFinal)
+Router<S, T, W>::Finish(RequestTask& aTask, FinalResponse aFinal)
 {
   const auto task = Find(aTask.mNumber);
   if (!task) {
@@ -328,13 +335,13 @@
   }
   task->SetState(RequestState::Done);
   mTasks.erase(task->mNumber);
-  const auto byKey = mByKey.find(task->mClaimKey);
-  if (byKey != mByKey.end() && byKey->second == task->mNumber) {
-    mByKey.erase(byKey);
+  const auto byKey = mPrimaryByKey.find(task->mClaimKey);
+  if (byKey != mPrimaryByKey.end() && byKey->second == task->mNumber) {
+    mPrimaryByKey.erase(byKey);
   }
   mBuffered -= Bytes(static_cast<std::int64_t>(task->mRequest.mBody.size()));
   mMetrics.SetBufferedBytes(mBuffered);
-  const auto time = Now() - task->mStarted;
+  const auto time = Now() - task->mArrivedAt;
   mMetrics.AddRequest(task->mRequest.mService, aFinal.mOutcome, time);
   LogEvent("request_end")
     .With("request", task->mRequest.mId)
@@ -344,20 +351,20 @@
     .With("status", std::to_string(aFinal.mResponse.mStatus))
     .With("attempts", std::to_string(task->mAttempt))
     .With("ms", std::to_string(std::chrono::duration_cast<Duration>(time).count()));
-  // A request that held no replica frees none, so nothing else can start.
+  // Only a request that held a replica frees one, so that a queued request can be dispatched.
   const bool freed = task->mReplica != nullptr;
   ReleaseReplica(*task);
-  const bool whole = aFinal.mOutcome != "answered" || task->IsAnswerKept();
+  const bool hasBody = aFinal.mOutcome != "answered" || task->IsBodyRetained();
   if (task->mClaimHeld && aFinal.mNotRun) {
     SendAfterRelease(task, aFinal);
   } else {
     task->SendFinal(aFinal);
-    SettleClaim(*task, aFinal, whole);
+    SettleClaim(*task, aFinal, hasBody);
   }
-  if (!whole) {
+  if (!hasBody) {
     aFinal = { "answer_not_kept",
                RefusalResponse({ 409, "answer_not_kept",
-                                 "the request was run and its answer is no longer held",
+                                 "the request was run, but its response is no longer stored",
                                  Ran::Unknown, false, Duration(0) },
                                task->mRequest.mId),
                false };
--- a/src/routing/RoutingMetrics.h
+++ b/src/routing/RoutingMetrics.h
@@ -12,18 +12,19 @@
 
 namespace lovagerock::routing {
 
-// The metrics of the request path. Belongs to its loop; the registry may be read by others.
+// Prometheus metrics of request routing. Must be updated on one thread only; other threads may read
+// the registry.
 class RoutingMetrics
 {
 public:
   explicit RoutingMetrics(prometheus::Registry& aRegistry);
 
-  // Counts an ended request and its time from arrival to the end of the answer.
+  // Records an ended request and its time from arrival to the end of the response.
   void AddRequest(const ServiceId& aService, std::string_view aOutcome,
                   std::chrono::steady_clock::duration aTime);
   void AddRetry(const ServiceId& aService);
   void AddEjection();
-  // Counts the answer to an attempt to claim a key: "held", "exists" or "unavailable".
+  // Counts an attempt to claim a key by its result: "held", "exists" or "unavailable".
   void AddClaim(std::string_view aResult);
   void SetQueueLength(std::size_t aLength);
   void SetBufferedBytes(Bytes aBytes);
@@ -36,7 +37,8 @@
   prometheus::Counter& mEjections;
   prometheus::Gauge& mQueueLength;
   prometheus::Gauge& mBufferedBytes;
-  // Metrics by label, because the library's lookup hashes all labels on each call.
+  // Caches of the metrics by label value, because the library's lookup hashes all labels on each
+  // call.
   std::map<std::string, std::map<std::string, prometheus::Counter*, std::less<>>> mByOutcome;
   std::map<std::string, prometheus::Histogram*> mByService;
 };
--- a/src/routing/RoutingTable.cpp
+++ b/src/routing/RoutingTable.cpp
@@ -10,8 +10,8 @@
 {
   auto& worker = mWorkers[aState.mWorker];
   const bool restarted = worker.mHost && worker.mHost->mIncarnation != aState.mIncarnation;
-  const auto old = restarted ? std::vector<ReplicaPtr>() : worker.mReplicas;
-  Drop(worker);
+  const auto previous = restarted ? std::vector<ReplicaPtr>() : worker.mReplicas;
+  RemoveReplicas(worker);
   if (!worker.mHost || restarted) {
     worker.mHost = std::make_shared<ReplicaHost>();
     worker.mHost->mWorker = aState.mWorker;
@@ -25,7 +25,7 @@
   }
   for (const auto& it : aState.mLeases) {
     if (it.mKind == workers::LeaseKind::Service && it.mPhase == workers::LeasePhase::Running) {
-      Add(worker, it, old);
+      AddReplica(worker, it, previous);
     }
   }
 }
@@ -35,7 +35,7 @@
 {
   const auto it = mWorkers.find(aWorker);
   if (it != mWorkers.end()) {
-    Drop(it->second);
+    RemoveReplicas(it->second);
     mWorkers.erase(it);
   }
 }
@@ -78,7 +78,7 @@
 }
 
 void
-RoutingTable::Drop(Worker& aWorker)
+RoutingTable::RemoveReplicas(Worker& aWorker)
 {
   for (const auto& it : aWorker.mReplicas) {
     it->mLive = false;
@@ -92,14 +92,15 @@
 }
 
 void
-RoutingTable::Add(Worker& aWorker, const workers::LeaseState& aLease,
-                  const std::vector<ReplicaPtr>& aOld)
+RoutingTable::AddReplica(Worker& aWorker, const workers::LeaseState& aLease,
+                         const std::vector<ReplicaPtr>& aPrevious)
 {
-  // The same lease keeps its object, because attempts in progress count on it.
-  const auto it = std::find_if(aOld.begin(), aOld.end(), [&](const auto& aReplica) {
+  // A lease that was there before keeps its Replica object, which holds the count of its requests
+  // in progress.
+  const auto it = std::find_if(aPrevious.begin(), aPrevious.end(), [&](const auto& aReplica) {
     return aReplica->mLease == aLease.mLease && aReplica->mService == aLease.mService;
   });
-  const auto replica = it == aOld.end() ? std::make_shared<Replica>() : *it;
+  const auto replica = it == aPrevious.end() ? std::make_shared<Replica>() : *it;
   replica->mHost = aWorker.mHost;
   replica->mLease = aLease.mLease;
   replica->mService = aLease.mService;
--- a/src/routing/RoutingTable.h
+++ b/src/routing/RoutingTable.h
@@ -8,24 +8,25 @@
 
 namespace lovagerock::routing {
 
-// The replicas of each service, built from the states of the workers. Belongs to its loop.
+// The replicas of each service, built from the states of the workers. Not thread-safe.
 class RoutingTable
 {
 public:
-  // Takes a worker's new state. A suspected or leaving worker loses its replicas at once.
+  // Updates a worker's state. Removes the replicas of a suspected or leaving worker.
   void Update(const workers::WorkerState& aState, const SocketAddress& aAddress, bool aSuspected);
-  // Forgets a worker.
+  // Removes a worker and its replicas.
   void Remove(const WorkerId& aWorker);
-  // Sets the number of entry nodes that share the workers' connections.
+  // Sets the number of live nodes that share the workers' connections.
   void SetLiveNodes(int aCount);
 
-  // The replicas that may get requests; empty for an unknown service.
+  // Returns the replicas that requests may be sent to; empty for an unknown service.
   const std::vector<ReplicaPtr>& Replicas(const ServiceId& aService) const;
-  // The requests that this node may have on the worker at once.
+  // Returns the number of requests that this node may have in progress on the worker: an equal
+  // share of the worker's connections, and at least 1.
   int ConnectionShare(const ReplicaHost& aHost) const;
-  // Number of workers with at least one replica.
+  // Returns the number of workers with at least one replica.
   std::size_t HostCount() const;
-  // Number of those that are ejected at the given time.
+  // Returns the number of workers with at least one replica that are ejected at the given time.
   std::size_t EjectedCount(TimePoint aNow) const;
 
 private:
@@ -35,8 +36,9 @@
     std::vector<ReplicaPtr> mReplicas;
   };
 
-  void Drop(Worker& aWorker);
-  void Add(Worker& aWorker, const workers::LeaseState& aLease, const std::vector<ReplicaPtr>& aOld);
+  void RemoveReplicas(Worker& aWorker);
+  void AddReplica(Worker& aWorker, const workers::LeaseState& aLease,
+                  const std::vector<ReplicaPtr>& aPrevious);
 
   std::unordered_map<WorkerId, Worker> mWorkers;
   std::unordered_map<ServiceId, std::vector<ReplicaPtr>> mServices;
--- a/tests/routing/AdmissionTests.cpp
+++ b/tests/routing/AdmissionTests.cpp
@@ -5,7 +5,7 @@
 using namespace lovagerock::routing;
 using namespace lovagerock::routing::test;
 
-Test(Admission, refuses_what_the_checks_reject)
+Test(Admission, refuses_requests_that_fail_validation)
 {
   Fixture f;
   cr_assert_eq(f.Call({}, "x", "wrong").mResponse.mStatus, 401);
@@ -25,13 +25,14 @@
   cr_assert(f.Worker().mRequests.empty());
 }
 
-// Guards against an unbounded queue, and against one account's queue that fills another's.
+// Guards against an unbounded queue, and against a queue limit that is shared between client
+// accounts.
 Test(Admission, answers_429_when_the_accounts_queue_is_full)
 {
   Fixture f;
   f.mPolicy.mQueueLimit = 2;
   f.Publish(*f.mNodes[0], 1, false);
-  f.Worker().BeSilent();
+  f.Worker().HoldRequests();
   f.Worker().mPhase = workers::RequestPhase::Running;
   std::vector<OutcomePtr> accepted;
   accepted.reserve(3);
@@ -47,8 +48,9 @@
   cr_assert_not(other->mEnded);
 }
 
-// Guards against head-of-line blocking: a long queue of one account must not delay another's.
-Test(Admission, alternates_between_accounts_by_weight)
+// Guards against head-of-line blocking: the long queue of one client account must not delay the
+// requests of another.
+Test(Admission, shares_a_service_between_accounts_by_weight)
 {
   AdmissionQueue queue;
   const ServiceId service("s");
@@ -65,8 +67,9 @@
   cr_assert(ofB >= 19 && ofB <= 21, "%d", ofB);
 }
 
-// Guards against a request without a fitting replica that blocks those behind it.
-Test(Admission, passes_a_request_that_has_no_replica)
+// Guards against head-of-line blocking by a request that no replica may serve: here a
+// non-idempotent one, while all replicas are reclaimable.
+Test(Admission, dispatches_past_a_request_without_a_usable_replica)
 {
   Fixture f;
   f.Publish(*f.mNodes[0], 8, true);
@@ -79,8 +82,8 @@
   cr_assert_eq(f.Router().QueueLength(), 0);
 }
 
-// Guards against new work for a worker that leaves.
-Test(Admission, sends_nothing_to_a_leaving_worker)
+// Guards against requests being sent to a worker that is shutting down or suspected to have failed.
+Test(Admission, sends_nothing_to_a_leaving_or_suspected_worker)
 {
   Fixture f(2);
   auto state = f.Worker(0).State(8, false);
@@ -91,8 +94,9 @@
   cr_assert(f.Worker(0).mRequests.empty() && f.Worker(1).mRequests.empty());
 }
 
-// Guards against work for workers whose views are out of date, also where a claim was under way.
-Test(Admission, sends_nothing_while_it_may_not)
+// Guards against sending requests by outdated worker states, which the send check prevents,
+// including a request whose claim was being acquired when the check changed.
+Test(Admission, sends_nothing_while_the_send_check_fails)
 {
   Fixture f;
   bool maySend = true;
@@ -110,26 +114,26 @@
   cr_assert_eq(f.Worker().mRequests.size(), 2);
 }
 
-// Guards against a stop that cuts requests or accepts new ones.
-Test(Admission, drains_after_the_last_answer)
+// Guards against a drain that aborts requests in progress or accepts new ones.
+Test(Admission, drains_after_the_last_response)
 {
   Fixture f;
-  f.Worker().BeSilent();
+  f.Worker().HoldRequests();
   f.Worker().mPhase = workers::RequestPhase::Running;
   const auto running = f.Start(kKeyed);
-  f.Until([&] { return f.Worker().mHeld.size() == 1; });
+  f.Until([&] { return f.Worker().mHeldResponders.size() == 1; });
   bool drained = false;
   f.Router().Drain([&] { drained = true; });
   const auto refused = f.Call({});
   cr_assert_eq(refused.Error(), std::string("draining"));
   cr_assert_not(drained);
-  f.Worker().mHeld[0].Send({ 200, {}, "last" });
+  f.Worker().mHeldResponders[0].Send({ 200, {}, "last" });
   cr_assert_eq(f.Finish(running).mResponse.mBody, std::string("last"));
   f.Until([&] { return drained; });
   cr_assert_eq(f.Router().ActiveRequests(), 0);
 }
 
-Test(Admission, refuses_bodies_over_the_limit_of_the_node)
+Test(Admission, refuses_bodies_over_the_memory_limit_of_the_node)
 {
   Fixture f;
   auto options = TestOptions(5);
@@ -160,8 +164,8 @@
   cr_assert_eq(outcome.Error(), std::string("node_busy"));
 }
 
-// Guards against retries that multiply the load of a failing service.
-Test(RetryBudget, is_a_tenth_of_the_requests_and_three_a_second)
+// Guards against retries that multiply the load on a failing service.
+Test(RetryBudget, allows_10_percent_of_requests_plus_3_per_second)
 {
   const TimePoint start;
   RetryBudget budget(start);
@@ -176,9 +180,10 @@
   cr_assert(budget.TakeRetry(start + Duration(400)));
 }
 
-// Guards against a queue in which every request waits until its deadline: the runs are then cut,
-// their outcome is unknown, and no answer is given although the workers are busy.
-Test(Admission, refuses_at_once_what_would_wait_beyond_its_deadline)
+// Guards against an overload in which every request waits nearly until its deadline. The deadlines
+// then interrupt the runs, so the workers are busy but no request gets a response, and the outcomes
+// are unknown.
+Test(Admission, refuses_on_arrival_if_the_expected_wait_exceeds_the_deadline)
 {
   Fixture f;
   f.Publish(*f.mNodes[0], 1, false);
@@ -190,48 +195,48 @@
     }));
   };
   cr_assert_eq(f.Call({}).mResponse.mStatus, 200);
-  f.Worker().BeSilent();
+  f.Worker().HoldRequests();
   const auto running = f.Start({});
-  f.Until([&] { return f.Worker().mHeld.size() == 1; });
-  // Answered before the slot is free again, so at once.
+  f.Until([&] { return f.Worker().mHeldResponders.size() == 1; });
+  // The refusal must not wait for the slot, which the running request still holds.
   const auto refused = f.Call({ { "Deadline-Ms", "100" } });
   cr_assert_eq(refused.mResponse.mStatus, 503);
   cr_assert_eq(refused.Error(), std::string("overloaded"));
   cr_assert_eq(refused.Ran(), std::string("no"));
   cr_assert_not(running->mEnded);
-  const auto patient = f.Start({ { "Deadline-Ms", "30000" } });
+  const auto longDeadline = f.Start({ { "Deadline-Ms", "30000" } });
   f.Until([&] { return f.Router().QueueLength() == 1; });
-  cr_assert_not(patient->mEnded);
+  cr_assert_not(longDeadline->mEnded);
   cr_assert_eq(f.Worker().mRequests.size(), 2);
 }
 
-// Guards against a slot that is spent on a run which its deadline cuts, and whose outcome nobody
-// knows.
-Test(Admission, sends_nothing_whose_time_is_too_short_after_the_wait)
+// Guards against a slot that is wasted on a run which its deadline will interrupt, which also
+// leaves the outcome unknown.
+Test(Admission, refuses_a_queued_request_with_too_little_time_left)
 {
   Fixture f;
   f.Publish(*f.mNodes[0], 1, false);
-  f.Worker().BeSilent();
+  f.Worker().HoldRequests();
   f.Worker().mPhase = workers::RequestPhase::Running;
-  // Waits from before the first run time is known, so it is not refused at its arrival.
+  // These arrive before the first run time is known, so they are not refused on arrival.
   const auto slow = f.Start({ { "Deadline-Ms", "30000" } });
-  f.Until([&] { return f.Worker().mHeld.size() == 1; });
+  f.Until([&] { return f.Worker().mHeldResponders.size() == 1; });
   const auto late = f.Start({ { "Deadline-Ms", "30000" } });
-  const auto hopeless = f.Start({ { "Deadline-Ms", "600" } });
+  const auto shortDeadline = f.Start({ { "Deadline-Ms", "600" } });
   f.Until([&] { return f.Router().QueueLength() == 2; });
   const auto timer = f.mLoop.After(Duration(400), [&] {
-    f.Worker().mHeld[0].Send({ 200, {}, "" });
+    f.Worker().mHeldResponders[0].Send({ 200, {}, "" });
   });
-  f.Until([&] { return f.Worker().mHeld.size() == 2; });
-  f.Worker().mHeld[1].Send({ 200, {}, "" });
-  const auto outcome = f.Finish(hopeless);
+  f.Until([&] { return f.Worker().mHeldResponders.size() == 2; });
+  f.Worker().mHeldResponders[1].Send({ 200, {}, "" });
+  const auto outcome = f.Finish(shortDeadline);
   cr_assert_eq(outcome.Error(), std::string("no_capacity"));
   cr_assert_eq(outcome.Ran(), std::string("no"));
   cr_assert_eq(f.Worker().mRequests.size(), 2);
 }
 
-// Guards against an account that is refused because of another account's long queue.
-Test(Admission, counts_no_more_than_the_share_of_another_account_ahead)
+// Guards against refusing a client account's request because of another account's long queue.
+Test(Admission, counts_at_most_the_weighted_share_of_other_accounts_ahead)
 {
   AdmissionQueue queue;
   const ServiceId service("s");
@@ -241,40 +246,40 @@
   cr_assert(queue.Push({ AccountId("b"), service, true }, 100, 2, 1000));
   cr_assert(queue.Push({ AccountId("b"), service, true }, 101, 2, 1000));
   cr_assert(queue.Push({ AccountId("b"), service, false }, 102, 2, 1000));
-  cr_assert_eq(queue.Ahead({ AccountId("b"), service, true }), 2.0);
-  cr_assert_eq(queue.Ahead({ AccountId("a"), service, true }), 101.0);
+  cr_assert_eq(queue.RequestsAhead({ AccountId("b"), service, true }), 2.0);
+  cr_assert_eq(queue.RequestsAhead({ AccountId("a"), service, true }), 101.0);
 }
 
-// Guards against a service that stays refused on an old estimate, and against a wait without end
-// that looks like none.
-Test(RunTimes, follow_the_service_and_know_nothing_without_open_attempts)
+// Guards against refusing requests on an outdated estimate, and against a wait estimated as zero
+// when no attempt is open and the real wait may be unlimited.
+Test(RunTimeEstimator, adapts_to_the_service_and_estimates_no_wait_without_open_attempts)
 {
   using std::chrono::microseconds;
-  RunTimes times;
-  cr_assert_eq(times.Typical(), microseconds(0));
-  times.OnStart();
-  times.OnAnswered(microseconds(1000));
-  times.OnEnd(microseconds(1000));
-  cr_assert_not(times.Wait(10));
-  times.OnStart();
-  times.OnStart();
-  cr_assert_eq(times.Wait(9).value(), microseconds(5000));
-  times.OnCutOff(microseconds(500));
-  cr_assert_eq(times.Mean(), microseconds(1000));
-  times.OnCutOff(microseconds(17000));
-  cr_assert_eq(times.Mean(), microseconds(2000));
+  RunTimeEstimator estimator;
+  cr_assert_eq(estimator.TypicalRunTime(), microseconds(0));
+  estimator.RecordStart();
+  estimator.RecordRunTime(microseconds(1000));
+  estimator.RecordEnd(microseconds(1000));
+  cr_assert_not(estimator.EstimateWait(10));
+  estimator.RecordStart();
+  estimator.RecordStart();
+  cr_assert_eq(estimator.EstimateWait(9).value(), microseconds(5000));
+  estimator.RecordDeadlineExceeded(microseconds(500));
+  cr_assert_eq(estimator.MeanRunTime(), microseconds(1000));
+  estimator.RecordDeadlineExceeded(microseconds(17000));
+  cr_assert_eq(estimator.MeanRunTime(), microseconds(2000));
   for (int i = 0; i < 200; ++i) {
-    times.OnAnswered(microseconds(100));
+    estimator.RecordRunTime(microseconds(100));
   }
-  cr_assert_lt(times.Typical(), microseconds(150));
+  cr_assert_lt(estimator.TypicalRunTime(), microseconds(150));
 }
 
-// Guards against callers that send again at once when the workers are too slow, and so multiply the
-// load that made them slow.
-Test(Admission, asks_callers_to_wait_after_a_run_that_the_deadline_cut)
+// Guards against callers that retry at once when the workers are too slow, and so increase the load
+// on them.
+Test(Admission, sends_retry_after_when_the_deadline_interrupts_a_run)
 {
   Fixture f;
-  f.Worker().BeSilent();
+  f.Worker().HoldRequests();
   f.Worker().mPhase = workers::RequestPhase::Running;
   const auto outcome = f.Call({ { "Deadline-Ms", "300" } });
   cr_assert_eq(outcome.mResponse.mStatus, 504);
--- a/tests/routing/ClaimTests.cpp
+++ b/tests/routing/ClaimTests.cpp
@@ -40,13 +40,13 @@
 
 } // namespace
 
-Test(Claim, records_the_answer_for_other_nodes)
+Test(Claim, records_the_response_for_other_nodes)
 {
   Fixture f;
   const auto first = f.Call(kKeyed);
   while (StoredClaim(f)->mState != ClaimState::Done) {
   }
-  // The holder is gone; another node answers from the record.
+  // Without peer calls the holder is unreachable, so the other node must use the recorded response.
   f.AddNode();
   f.mNetwork.mHandlers.clear();
   const auto second = f.Finish(f.Start(kKeyed, "x", "a", 1));
@@ -54,8 +54,8 @@
   cr_assert_eq(f.Worker().mRequests.size(), 1);
 }
 
-// Guards against a request that is refused or run twice because the claim's answer was lost.
-Test(Claim, runs_once_when_the_answer_of_the_write_is_lost)
+// Guards against refusing a request or running it twice when the result of its claim write is lost.
+Test(Claim, runs_once_when_the_result_of_the_claim_write_is_lost)
 {
   Fixture f;
   f.mStore.LoseAnswers(1);
@@ -63,8 +63,9 @@
   cr_assert_eq(f.Worker().mRequests.size(), 1);
 }
 
-// Guards against sending without a claim, and against stopping requests that need none.
-Test(Claim, refuses_only_keyed_requests_while_the_store_is_down)
+// Guards against sending a request without its claim, and against refusing requests that need no
+// claim.
+Test(Claim, refuses_only_requests_that_need_a_claim_while_the_store_is_down)
 {
   Fixture f;
   f.mStore.SetAvailable(false);
@@ -72,14 +73,15 @@
   cr_assert_eq(keyed.mResponse.mStatus, 503);
   cr_assert_eq(keyed.Ran(), std::string("no"));
   cr_assert(keyed.mResponse.mHeaders.Has("Retry-After"));
-  cr_assert_eq(f.Call(kOnce).mResponse.mStatus, 200);
+  cr_assert_eq(f.Call(kNonIdempotent).mResponse.mStatus, 200);
   cr_assert_eq(f.Call({}).mResponse.mStatus, 200);
   f.mStore.SetAvailable(true);
   cr_assert_eq(f.Call(kKeyed).mResponse.mStatus, 200);
   cr_assert_eq(f.Worker().mRequests.size(), 3);
 }
 
-// Guards against a second run of a request whose holder died with the outcome.
+// Guards against running a request again when the node that held its claim has failed and the
+// outcome is unknown.
 Test(Claim, answers_409_when_the_holder_is_gone)
 {
   Fixture f;
@@ -90,25 +92,26 @@
   cr_assert(f.Worker().mRequests.empty());
 }
 
-Test(Claim, takes_a_released_claim_over)
+Test(Claim, takes_over_a_released_claim)
 {
   Fixture f;
   f.mStore.Restore(ClaimKey(), WriteClaim(ForeignClaim(ClaimState::Released)), 1);
   cr_assert_eq(f.Call(kKeyed).mResponse.mStatus, 200);
 }
 
-// Guards against a double run when a caller's retry reaches another node at the same time.
+// Guards against running a request twice when the caller's retry reaches another node at the same
+// time.
 Test(Claim, runs_once_when_two_nodes_get_the_same_key_at_once)
 {
   Fixture f;
   f.AddNode();
-  f.Worker().BeSilent();
+  f.Worker().HoldRequests();
   f.Worker().mPhase = workers::RequestPhase::Running;
   const auto first = f.Start(kKeyed);
   const auto second = f.Start(kKeyed, "x", "a", 1);
-  f.Until([&] { return f.Worker().mHeld.size() == 1; });
+  f.Until([&] { return f.Worker().mHeldResponders.size() == 1; });
   const auto later = f.mLoop.After(Duration(200), [&] {
-    f.Worker().mHeld[0].Send({ 200, {}, "only once" });
+    f.Worker().mHeldResponders[0].Send({ 200, {}, "only once" });
   });
   cr_assert_eq(f.Finish(first).mResponse.mBody, std::string("only once"));
   cr_assert_eq(f.Finish(second).mResponse.mBody, std::string("only once"));
@@ -125,8 +128,8 @@
   cr_assert_eq(f.Worker().mRequests.size(), 1);
 }
 
-// Guards against the answer of one request for another that reuses its key.
-Test(Claim, refuses_a_key_that_belongs_to_another_request)
+// Guards against returning the response of one request to a different request with the same key.
+Test(Claim, refuses_a_key_that_was_used_for_another_request)
 {
   Fixture f;
   f.AddNode();
@@ -136,8 +139,8 @@
   cr_assert_eq(f.Worker().mRequests.size(), 1);
 }
 
-// Guards against a caller that is told to retry while its key is still claimed: if the node died
-// then, the retry would end as "outcome_unknown".
+// Guards against telling the caller to retry while its key is still claimed. If the node crashed at
+// that point, the retry would fail with "outcome_unknown".
 Test(Claim, is_released_before_the_caller_is_told_to_retry)
 {
   Fixture f;
@@ -150,8 +153,8 @@
   cr_assert_eq(StoredClaim(f)->mState, ClaimState::Released);
 }
 
-// Guards against a refusal that waits for as long as the key-value service hangs.
-Test(Claim, is_refused_while_its_release_gets_no_answer)
+// Guards against a refusal that is delayed for as long as the key-value service does not respond.
+Test(Claim, refuses_the_request_although_its_release_gets_no_response)
 {
   Fixture f;
   f.Worker().mOnRequest = [&f](const http::Request&, const http::Responder& aResponder) {
@@ -163,7 +166,7 @@
   cr_assert_eq(f.Call(headers).Ran(), std::string("no"));
 }
 
-// Guards against a key that is blocked for ever by a request that was not run.
+// Guards against a key that stays blocked by a request that was not run.
 Test(Claim, releases_the_claim_of_a_request_that_was_not_run)
 {
   Fixture f;
@@ -181,8 +184,9 @@
   cr_assert_eq(f.Finish(f.Start(kKeyed, "x", "a", 1)).mResponse.mBody, std::string("ran"));
 }
 
-// Guards against a write per claim, which the service can't carry.
-Test(Claim, batches_claims_and_settles_a_batch_that_fails_in_part)
+// Guards against a whole batch failing when one of its claims conflicts. Claims are batched because
+// the key-value service can't sustain one write per claim.
+Test(Claim, batches_claims_and_retries_the_valid_writes_of_a_failed_batch)
 {
   Fixture f;
   f.Publish(*f.mNodes[0], 64, false);
--- a/tests/routing/ReplicaTests.cpp
+++ b/tests/routing/ReplicaTests.cpp
@@ -5,7 +5,7 @@
 
 namespace {
 
-struct Replicas
+struct ReplicaFixture
 {
   RoutingTable mTable;
   Random mRandom{ 1 };
@@ -46,58 +46,58 @@
 
 Test(Replica, stays_within_slots_and_the_share_of_connections)
 {
-  Replicas r;
-  r.Add(Replicas::State(1, 4));
+  ReplicaFixture r;
+  r.Add(ReplicaFixture::State(1, 4));
   cr_assert_eq(r.CountPicks(), 4);
-  r.Add(Replicas::State(2, 20));
+  r.Add(ReplicaFixture::State(2, 20));
   r.mTable.SetLiveNodes(4);
   cr_assert_eq(r.CountPicks(), 2);
 }
 
-// Guards against counts that are lost when a worker reports again.
-Test(Replica, keeps_its_requests_over_an_update)
+// Guards against losing the count of requests in progress when a worker reports its state again.
+Test(Replica, keeps_its_request_count_across_an_update)
 {
-  Replicas r;
-  r.Add(Replicas::State(1, 4));
+  ReplicaFixture r;
+  r.Add(ReplicaFixture::State(1, 4));
   r.CountPicks();
-  r.Add(Replicas::State(1, 4));
+  r.Add(ReplicaFixture::State(1, 4));
   cr_assert_not(r.Pick());
-  auto restarted = Replicas::State(1, 4);
+  auto restarted = ReplicaFixture::State(1, 4);
   restarted.mIncarnation = "2";
   r.Add(restarted);
   cr_assert_eq(r.CountPicks(), 4);
 }
 
-// Guards against a reclaim that stops a request which can't be run again.
+// Guards against a reclaimed lease that stops a request which can't be run again.
 Test(Replica, is_not_used_for_non_idempotent_requests_if_reclaimable)
 {
-  Replicas r;
-  r.Add(Replicas::State(1, 4));
+  ReplicaFixture r;
+  r.Add(ReplicaFixture::State(1, 4));
   cr_assert_not(r.Pick(false));
   cr_assert(r.Pick(true));
 }
 
-Test(Replica, prefers_the_own_zone_on_a_tie)
+Test(Replica, is_picked_from_the_own_zone_on_a_tie)
 {
-  Replicas r;
-  r.Add(Replicas::State(1, 4, "z2"));
-  r.Add(Replicas::State(2, 4, "z1"));
+  ReplicaFixture r;
+  r.Add(ReplicaFixture::State(1, 4, "z2"));
+  r.Add(ReplicaFixture::State(2, 4, "z1"));
   for (int i = 0; i < 20; ++i) {
     cr_assert_eq(r.Pick()->mHost->mWorker, WorkerId("w2"));
   }
 }
 
-// Guards against an ejection of all workers when the fault is elsewhere.
-Test(Replica, is_ejected_after_failures_but_at_most_half)
+// Guards against ejecting all workers when the cause of the failures isn't the workers.
+Test(Replica, is_ejected_after_failures_up_to_half_of_the_workers)
 {
-  Replicas r;
+  ReplicaFixture r;
   for (int i = 1; i <= 3; ++i) {
-    r.Add(Replicas::State(i, 4));
+    r.Add(ReplicaFixture::State(i, 4));
   }
   int ejected = 0;
   for (const auto& it : r.mTable.Replicas(r.mService)) {
     for (int i = 0; i < 5; ++i) {
-      ejected += r.mPicker.Report(*it->mHost, false, r.mNow) ? 1 : 0;
+      ejected += r.mPicker.RecordOutcome(*it->mHost, false, r.mNow) ? 1 : 0;
     }
   }
   cr_assert_eq(ejected, 1);
--- a/tests/routing/RoutingFixture.h
+++ b/tests/routing/RoutingFixture.h
@@ -20,30 +20,29 @@
 
 namespace lovagerock::routing::test {
 
-// A worker on an HTTP server whose behavior each test sets.
+// A fake worker on an HTTP server. Each test sets its behavior.
 struct TestWorker
 {
   http::HttpServer mServer;
   std::string mName;
   std::string mIncarnation = "1";
-  // What a question about a request and a tombstone report; if not set, what is true. A busy
-  // machine may let the router ask about any request, so a fixed value must not contradict the
-  // test.
+  // The phases that probes and tombstones of requests report; if not set, the actual phase. On a
+  // busy machine the router may probe any request, so a fixed phase must not contradict the test.
   std::optional<workers::RequestPhase> mPhase;
   std::optional<workers::RequestPhase> mDropPhase;
-  // Runs when a question arrives, which is answered after the given time.
-  std::function<void()> mOnQuestion;
-  Duration mQuestionTime{ 0 };
+  // Called when a probe arrives. The probe is answered after mProbeDelay.
+  std::function<void()> mOnProbe;
+  Duration mProbeDelay{ 0 };
   bool mReachable = true;
   std::function<void(const http::Request&, const http::Responder&)> mOnRequest =
     [](const http::Request& aRequest, const http::Responder& aResponder) {
       aResponder.Send({ 200, {}, "answer to " + aRequest.mBody });
     };
-  std::string mKeptAnswer = "kept";
-  // Ids of the requests that arrived, and of those that were dropped.
+  std::string mFetchedBody = "kept";
+  // Ids of the requests that arrived, and of those that got a tombstone.
   std::vector<std::string> mRequests;
   std::vector<std::string> mDropped;
-  std::vector<http::Responder> mHeld;
+  std::vector<http::Responder> mHeldResponders;
 
   TestWorker(EventLoop& aLoop, std::string aName)
     : mServer(aLoop)
@@ -61,22 +60,22 @@
                    });
     mServer.Handle(http::Method::Get, "/v1/requests/{id}/answer",
                    [this](const http::Request&, const http::Responder& aResponder) {
-                     aResponder.Send({ 200, {}, mKeptAnswer });
+                     aResponder.Send({ 200, {}, mFetchedBody });
                    });
     cr_assert_not(mServer.Listen(testing::LocalAddress()));
   }
 
-  workers::RequestPhase TruePhase(const RequestId& aId) const
+  workers::RequestPhase ActualPhase(const RequestId& aId) const
   {
     const bool arrived = std::ranges::find(mRequests, aId.Value()) != mRequests.end();
     return arrived ? workers::RequestPhase::Running : workers::RequestPhase::Unknown;
   }
 
-  // Receives requests and never answers.
-  void BeSilent()
+  // Accepts requests without responding. Their responders are stored in mHeldResponders.
+  void HoldRequests()
   {
     mOnRequest = [this](const http::Request&, const http::Responder& aResponder) {
-      mHeld.push_back(aResponder);
+      mHeldResponders.push_back(aResponder);
     };
   }
 
@@ -98,12 +97,12 @@
   }
 };
 
-// Answers questions about requests from the test workers.
+// Implements the worker calls of the router with the test workers.
 struct TestWorkers
 {
   EventLoop& mLoop;
   std::vector<std::unique_ptr<TestWorker>> mWorkers;
-  std::vector<Timer> mAnswers{};
+  std::vector<Timer> mProbeTimers{};
 
   TestWorker& Add()
   {
@@ -128,19 +127,19 @@
   FindRequest(const SocketAddress& aWorker, const RequestId& aId, workers::PhaseCallback aCallback)
   {
     const auto& worker = At(aWorker);
-    if (worker.mOnQuestion) {
-      worker.mOnQuestion();
+    if (worker.mOnProbe) {
+      worker.mOnProbe();
     }
-    const auto phase = worker.mPhase.value_or(worker.TruePhase(aId));
-    mAnswers.push_back(
-      mLoop.After(worker.mQuestionTime, [=, ec = Error(worker)] { aCallback(ec, phase); }));
+    const auto phase = worker.mPhase.value_or(worker.ActualPhase(aId));
+    mProbeTimers.push_back(
+      mLoop.After(worker.mProbeDelay, [=, ec = Error(worker)] { aCallback(ec, phase); }));
   }
   void
   DropRequest(const SocketAddress& aWorker, const RequestId& aId, workers::PhaseCallback aCallback)
   {
     auto& worker = At(aWorker);
     worker.mDropped.push_back(aId.Value());
-    const auto phase = worker.mDropPhase.value_or(worker.TruePhase(aId));
+    const auto phase = worker.mDropPhase.value_or(worker.ActualPhase(aId));
     mLoop.Post([=, ec = Error(worker)] { aCallback(ec, phase); });
   }
   void Poll(const SocketAddress& aWorker, std::uint64_t, Duration, workers::PollCallback aCallback)
@@ -192,7 +191,7 @@
   options.mIncarnation = "1";
   options.mPeer = SocketAddress("127.0.0.1", static_cast<std::uint16_t>(aNode));
   options.mProbeInterval = Duration(50);
-  options.mSilentLimit = Duration(150);
+  options.mUnresponsiveLimit = Duration(150);
   return options;
 }
 
@@ -241,7 +240,7 @@
   }
 };
 
-// One caller's view of a request.
+// The outcome of a request as its caller sees it.
 struct Outcome
 {
   bool mEnded = false;
@@ -291,7 +290,7 @@
   TestWorker& Worker(std::size_t aIndex = 0) { return *mWorkers.mWorkers[aIndex]; }
   TestRouter& Router() { return mNodes[0]->mRouter; }
 
-  // Tells a node the state of all workers.
+  // Updates a node with the state of all workers.
   void Publish(TestNode& aNode, int aSlots, bool aReclaimable)
   {
     for (const auto& it : mWorkers.mWorkers) {
@@ -316,7 +315,7 @@
     });
     return outcome;
   }
-  // Runs the loop until the condition holds; the fixture's limit fails the test.
+  // Runs the event loop until the condition holds. The test fails after the time limit mLimit.
   void Until(const std::function<bool()>& aCondition)
   {
     const auto timer = mLoop.Every(Duration(1), [&] {
@@ -338,7 +337,7 @@
   }
 };
 
-inline const http::Headers kOnce{ { "Idempotent", "false" } };
+inline const http::Headers kNonIdempotent{ { "Idempotent", "false" } };
 inline const http::Headers kKeyed{ { "Idempotent", "false" }, { "Idempotency-Key", "k" } };
 
 } // namespace lovagerock::routing::test
