--- a/src/retention/Deletion.h
+++ b/src/retention/Deletion.h
@@ -11,15 +11,15 @@
 {
   Claim,
   Change,
-  // An answer piece of an expired job.
+  // A stored piece of a task's answer, of an expired job.
   Piece,
-  // An answer piece of a job without a record.
+  // A stored piece of a task's answer, of a job that has no record.
   Orphan,
   // The record of an expired job.
   Job,
 };
 
-// An expired key, to be deleted if it still has the version that was read.
+// An expired key and the version that was read; it is deleted only if it still has that version.
 struct Deletion
 {
   DeletionKind mKind = DeletionKind::Claim;
--- a/src/retention/DeletionQueue.cpp
+++ b/src/retention/DeletionQueue.cpp
@@ -7,7 +7,7 @@
 namespace lovagerock::retention {
 
 void
-DeletionQueue::Fill(std::vector<Deletion> aDeletions)
+DeletionQueue::Reset(std::vector<Deletion> aDeletions)
 {
   mDeletions = std::move(aDeletions);
   mNext = 0;
@@ -20,7 +20,7 @@
 }
 
 std::vector<kv::Operation>
-DeletionQueue::Batch() const
+DeletionQueue::NextBatch() const
 {
   std::vector<kv::Operation> operations;
   for (std::size_t i = mNext; i < mNext + BatchSize(); ++i) {
@@ -31,7 +31,7 @@
 }
 
 void
-DeletionQueue::Applied(SweepReport& aReport)
+DeletionQueue::OnApplied(SweepReport& aReport)
 {
   for (const auto end = mNext + BatchSize(); mNext < end; ++mNext) {
     aReport.CountDeleted(mDeletions[mNext].mKind);
@@ -39,7 +39,7 @@
 }
 
 void
-DeletionQueue::Refused(const std::vector<std::size_t>& aPositions, SweepReport& aReport)
+DeletionQueue::OnRefused(const std::vector<std::size_t>& aPositions, SweepReport& aReport)
 {
   std::set<std::string> keys;
   for (const auto position : aPositions) {
--- a/src/retention/DeletionQueue.h
+++ b/src/retention/DeletionQueue.h
@@ -9,20 +9,22 @@
 
 namespace lovagerock::retention {
 
-// Expired keys that wait to be deleted, in order.
+// The expired keys that are still to be deleted, in order, taken in batches of one transaction.
 class DeletionQueue
 {
 public:
-  // Replaces the queue.
-  void Fill(std::vector<Deletion> aDeletions);
+  // Replaces the content of the queue.
+  void Reset(std::vector<Deletion> aDeletions);
   bool IsEmpty() const { return mNext == mDeletions.size(); }
 
-  // The operations of the next transaction; the same ones until their outcome is given.
-  std::vector<kv::Operation> Batch() const;
-  // The batch was applied.
-  void Applied(SweepReport& aReport);
-  // The batch was refused because these positions have another version by now.
-  void Refused(const std::vector<std::size_t>& aPositions, SweepReport& aReport);
+  // Returns the operations of the next transaction, and the same ones again until OnApplied() or
+  // OnRefused() is called.
+  std::vector<kv::Operation> NextBatch() const;
+  // Called when the batch was applied: counts its keys as deleted and advances to the next batch.
+  void OnApplied(SweepReport& aReport);
+  // Removes the keys at these positions of the batch, whose version checks failed, and counts them
+  // as skipped.
+  void OnRefused(const std::vector<std::size_t>& aPositions, SweepReport& aReport);
 
 private:
   std::size_t BatchSize() const;
--- a/src/retention/FirstSeen.cpp
+++ b/src/retention/FirstSeen.cpp
@@ -5,9 +5,9 @@
 std::int64_t
 FirstSeen::Since(const std::string& aKey, kv::ModifyIndex aIndex, std::int64_t aNow)
 {
-  const auto* known = mSightings.Find(aKey);
+  const auto* known = mObservations.Find(aKey);
   const auto since = known && known->mIndex == aIndex ? known->mSince : aNow;
-  mSightings.Keep(aKey, { aIndex, since });
+  mObservations.Set(aKey, { aIndex, since });
   return since;
 }
 
--- a/src/retention/FirstSeen.h
+++ b/src/retention/FirstSeen.h
@@ -8,23 +8,24 @@
 
 namespace lovagerock::retention {
 
-// Remembers since when keys without a stored time have had their present version. One pass asks for
-// each such key; keys that a whole pass doesn't ask for are forgotten.
+// Stores when the sweeper first saw the current version of each key whose value has no time. Each
+// pass calls Since() for every such key; keys without a call in a complete pass are removed.
 class FirstSeen
 {
 public:
-  // The time, in milliseconds since 1970, at which the key's version was first asked for.
+  // Returns the time, in milliseconds since 1970, of the first call with this version of the key:
+  // aNow if this is the first one.
   std::int64_t Since(const std::string& aKey, kv::ModifyIndex aIndex, std::int64_t aNow);
-  void EndPass(bool aComplete) { mSightings.EndPass(aComplete); }
+  void EndPass(bool aComplete) { mObservations.EndPass(aComplete); }
 
 private:
-  struct Sighting
+  struct Observation
   {
     kv::ModifyIndex mIndex = 0;
     std::int64_t mSince = 0;
   };
 
-  PassMap<Sighting> mSightings;
+  PassMap<Observation> mObservations;
 };
 
 } // namespace lovagerock::retention
--- a/src/retention/JobDeletion.cpp
+++ b/src/retention/JobDeletion.cpp
@@ -7,10 +7,10 @@
 using Kind = kv::Operation::Kind;
 
 JobDeletion
-JobDeletion::OfRecord(const std::string& aJob, const std::set<std::string>& aRegions,
-                      const std::string& aRecordKey, kv::ModifyIndex aIndex)
+JobDeletion::ForExpiredJob(const std::string& aJob, const std::set<std::string>& aRegions,
+                           const std::string& aRecordKey, kv::ModifyIndex aIndex)
 {
-  auto deletion = OfOrphans(aJob, aRegions);
+  auto deletion = ForOrphanedPieces(aJob, aRegions);
   for (auto& it : deletion.mChecks) {
     it.mModifyIndex = it.mKey == aRecordKey ? aIndex : 0;
   }
@@ -20,7 +20,7 @@
 }
 
 JobDeletion
-JobDeletion::OfRecordAlone(const std::string& aRecordKey, kv::ModifyIndex aIndex)
+JobDeletion::ForRecordOnly(const std::string& aRecordKey, kv::ModifyIndex aIndex)
 {
   JobDeletion deletion;
   deletion.mRecord.push_back({ Kind::CompareAndDelete, aRecordKey, "", aIndex });
@@ -28,7 +28,7 @@
 }
 
 JobDeletion
-JobDeletion::OfOrphans(const std::string& aJob, const std::set<std::string>& aRegions)
+JobDeletion::ForOrphanedPieces(const std::string& aJob, const std::set<std::string>& aRegions)
 {
   JobDeletion deletion;
   deletion.mIsOrphan = true;
@@ -55,7 +55,7 @@
 }
 
 std::vector<kv::Operation>
-JobDeletion::Batch() const
+JobDeletion::NextBatch() const
 {
   auto operations = mChecks;
   const auto begin = mDeletes.begin() + static_cast<std::ptrdiff_t>(mNext);
@@ -67,7 +67,7 @@
 }
 
 void
-JobDeletion::Applied(SweepReport& aReport)
+JobDeletion::OnApplied(SweepReport& aReport)
 {
   for (const auto end = mNext + BatchSize(); mNext < end; ++mNext) {
     aReport.CountDeleted(mIsOrphan ? DeletionKind::Orphan : DeletionKind::Piece);
--- a/src/retention/JobPage.cpp
+++ b/src/retention/JobPage.cpp
@@ -6,7 +6,7 @@
 namespace lovagerock::retention {
 
 JobPage::JobPage(RegionId aRegion, const std::set<std::string>& aRegions, const std::string& aPage)
-  : mOwnDone("done/" + aRegion.Value() + "/")
+  : mLocalDonePrefix("done/" + aRegion.Value() + "/")
   , mPrefixes{ "answers/" + aPage }
 {
   for (const auto* kind : { "jobs/", "done/" }) {
@@ -27,22 +27,27 @@
 {
   const auto& prefix = mPrefixes.at(mNext++);
   const bool isAnswers = prefix.starts_with("answers/");
-  const bool isOwnDone = prefix.starts_with(mOwnDone);
-  const bool isOwnLive = prefix.starts_with("jobs/" + mOwnDone.substr(mOwnDone.find('/') + 1));
+  const bool isLocalDone = prefix.starts_with(mLocalDonePrefix);
+  const bool isLocalLive =
+    prefix.starts_with("jobs/" + mLocalDonePrefix.substr(mLocalDonePrefix.find('/') + 1));
   for (const auto& it : aNames.mNames) {
     const bool isDirectory = it.ends_with('/');
     const auto end = it.size() - (isDirectory ? 1 : 0);
     const auto begin = it.rfind('/', end - 1) + 1;
-    // A record is a key, the pieces of a job are below its id.
+    // Records are keys themselves; answer pieces are keys below the job's id, which is therefore
+    // listed with a '/' at its end.
     if (isDirectory == isAnswers) {
-      auto& jobs = isAnswers ? mAnswers : isOwnDone ? mDone : isOwnLive ? mLive : mElsewhere;
+      auto& jobs = isAnswers     ? mAnswers
+                   : isLocalDone ? mDone
+                   : isLocalLive ? mLive
+                                 : mInOtherRegions;
       jobs.insert(it.substr(begin, end - begin));
     }
   }
 }
 
 std::vector<std::string>
-JobPage::OwnDone() const
+JobPage::LocalDoneJobs() const
 {
   std::vector<std::string> jobs;
   std::set_difference(mDone.begin(), mDone.end(), mLive.begin(), mLive.end(),
@@ -51,12 +56,12 @@
 }
 
 std::vector<std::string>
-JobPage::WithoutRecord() const
+JobPage::OrphanedJobs() const
 {
   std::vector<std::string> jobs;
   std::copy_if(mAnswers.begin(), mAnswers.end(), std::back_inserter(jobs),
                [this](const std::string& aJob) {
-                 return !mLive.contains(aJob) && !mDone.contains(aJob) && !IsElsewhere(aJob);
+                 return !mLive.contains(aJob) && !mDone.contains(aJob) && !IsInOtherRegion(aJob);
                });
   return jobs;
 }
--- a/src/retention/JobSweep.h
+++ b/src/retention/JobSweep.h
@@ -8,10 +8,10 @@
 #include "retention/FirstSeen.h"
 #include "retention/JobDeletion.h"
 #include "retention/JobPage.h"
-#include "retention/PacedCalls.h"
-#include "retention/PageWalk.h"
 #include "retention/PassMap.h"
-#include "retention/SweepEnd.h"
+#include "retention/PrefixPager.h"
+#include "retention/RateLimitedCalls.h"
+#include "retention/SweepOutcome.h"
 
 #include <cstdint>
 #include <functional>
@@ -23,14 +23,15 @@
 
 namespace lovagerock::retention {
 
-// Deletes the expired done jobs of the own region with their answers, and the answers of jobs that
-// have no record. Reads names by pages, one done record for each job that is new to it, and the
-// pieces of a job only when that job is to be deleted.
+// Deletes the expired done jobs of this region with their answers, and the answers of jobs that
+// have no record. To save reads, it lists key names by pages, reads a done record only if it
+// doesn't know when the job ended or the job has expired, and lists the pieces only of expired jobs
+// and of jobs without a record.
 template<kv::KeyValueStore Store>
 class JobSweep
 {
 public:
-  JobSweep(PacedCalls<Store>& aCalls, Random& aRandom, RegionId aRegion,
+  JobSweep(RateLimitedCalls<Store>& aCalls, Random& aRandom, RegionId aRegion,
            const SweeperSettings& aSettings, const WallClock& aClock, SweepReport& aReport)
     : mCalls(aCalls)
     , mRandom(aRandom)
@@ -49,21 +50,21 @@
   }
 
 private:
-  static constexpr std::string_view kStem = "j-";
-  // The characters of job ids; the stem is among them.
+  static constexpr std::string_view kIdPrefix = "j-";
+  // The characters of job ids, including those of kIdPrefix.
   static constexpr std::string_view kAlphabet = "0123456789abcdefj-";
 
-  // Calls with the names; any error but TooLarge ends the sweep. Without aOnTooLarge that ends it
-  // too.
-  void Names(const std::string& aPrefix, const std::string& aSeparator, Bytes aLimit,
-             std::function<void(kv::NameList)> aNext, std::function<void()> aOnTooLarge = {})
+  // Lists key names and passes them to aNext. Calls aOnTooLarge on TooLarge if it is given; any
+  // other error ends the sweep.
+  void ReadNames(const std::string& aPrefix, const std::string& aSeparator, Bytes aLimit,
+                 std::function<void(kv::NameList)> aNext, std::function<void()> aOnTooLarge = {})
   {
     mCalls.ListNames(
       aPrefix, aSeparator, aLimit, [=, this](std::error_code aError, kv::NameList aNames) {
         if (aError == make_error_code(kv::KvError::TooLarge) && aOnTooLarge) {
           aOnTooLarge();
         } else if (aError) {
-          End({ SweepEnd::Kind::ReadFailed, "list " + aPrefix + ": " + aError.message() });
+          End({ SweepOutcome::Kind::ReadFailed, "list " + aPrefix + ": " + aError.message() });
         } else {
           mReport.mListed += static_cast<std::int64_t>(aNames.mNames.size());
           aNext(std::move(aNames));
@@ -74,7 +75,7 @@
   template<typename Function>
   void AddRegions(const std::string& aPrefix, Function aNext)
   {
-    Names(aPrefix, "/", mSettings.mNamesLimit, [=, this](const kv::NameList& aNames) {
+    ReadNames(aPrefix, "/", mSettings.mNamesLimit, [=, this](const kv::NameList& aNames) {
       for (const auto& it : aNames.mNames) {
         if (it.ends_with('/')) {
           mRegions.insert(it.substr(aPrefix.size(), it.size() - aPrefix.size() - 1));
@@ -84,30 +85,31 @@
     });
   }
 
-  // The done names are the longer list, because each finished job is among them.
+  // Samples the done records: there are more of them than live ones, because they include each
+  // finished job.
   void Start()
   {
-    mWalk = PageWalk(std::string(kStem), kAlphabet, mSettings.mNamesLimit);
-    Names(
-      "done/" + mRegion.Value() + "/" + mWalk.Sample(), "/", mSettings.mNamesLimit,
+    mPager = PrefixPager(std::string(kIdPrefix), kAlphabet, mSettings.mNamesLimit);
+    ReadNames(
+      "done/" + mRegion.Value() + "/" + mPager.SamplePage(), "/", mSettings.mNamesLimit,
       [this](const kv::NameList& aNames) {
         std::size_t n = 0;
         for (const auto& it : aNames.mNames) {
-          // A name stands in quotes, with a comma and the store's prefix.
+          // In the response, each name has quotes, a comma and the store's prefix: about 16 bytes.
           n += it.size() + 16;
         }
-        mWalk.Start(Bytes(static_cast<std::int64_t>(n)));
+        mPager.Start(Bytes(static_cast<std::int64_t>(n)));
         NextPage();
       },
       [this] {
-        mWalk.Start(std::nullopt);
+        mPager.Start(std::nullopt);
         NextPage();
       });
   }
 
   void NextPage()
   {
-    const auto page = mWalk.Next(mRandom);
+    const auto page = mPager.Next(mRandom);
     if (!page) {
       End({});
       return;
@@ -120,19 +122,19 @@
   {
     const auto prefix = mPage.NextPrefix();
     if (prefix.empty()) {
-      mOwnDone = mPage.OwnDone();
-      mWithoutRecord = mPage.WithoutRecord();
+      mLocalDoneJobs = mPage.LocalDoneJobs();
+      mOrphanedJobs = mPage.OrphanedJobs();
       NextJob();
       return;
     }
-    Names(
+    ReadNames(
       prefix, "/", mSettings.mNamesLimit,
       [this, aPage](const kv::NameList& aNames) {
         mPage.Add(aNames);
         ReadPage(aPage);
       },
       [this, aPage] {
-        mWalk.Split(aPage);
+        mPager.Split(aPage);
         NextPage();
       });
   }
@@ -149,23 +151,23 @@
 
   bool IsExpired(std::int64_t aSince) const
   {
-    return mClock() - aSince >= mSettings.mJobLimit.count();
+    return mClock() - aSince >= mSettings.mJobRetention.count();
   }
 
   void NextJob()
   {
-    while (const auto job = Pop(mOwnDone)) {
-      const auto* ended = mEnds.Find(*job);
+    while (const auto job = Pop(mLocalDoneJobs)) {
+      const auto* ended = mEndTimes.Find(*job);
       if (!ended || IsExpired(*ended)) {
         ReadRecord(*job);
         return;
       }
-      mEnds.Keep(*job, *ended);
+      mEndTimes.Set(*job, *ended);
     }
-    if (const auto job = Pop(mWithoutRecord)) {
-      Names(
+    if (const auto job = Pop(mOrphanedJobs)) {
+      ReadNames(
         "answers/" + *job + "/", "", mSettings.mLongNamesLimit,
-        [this, job](const kv::NameList& aPieces) { OnOrphans(*job, aPieces); },
+        [this, job](const kv::NameList& aPieces) { OnOrphanedPieces(*job, aPieces); },
         [this, job] { Skip(*job); });
       return;
     }
@@ -177,7 +179,7 @@
     const auto key = "done/" + mRegion.Value() + "/" + aJob;
     mCalls.Get(key, [=, this](std::error_code aError, const std::optional<kv::Entry>& aEntry) {
       if (aError) {
-        End({ SweepEnd::Kind::ReadFailed, "read " + key + ": " + aError.message() });
+        End({ SweepOutcome::Kind::ReadFailed, "read " + key + ": " + aError.message() });
       } else if (aEntry) {
         OnRecord(aJob, *aEntry);
       } else {
@@ -186,7 +188,8 @@
     });
   }
 
-  // The record was read after the name was listed, and its version is checked by each delete.
+  // Deletes the job if it has expired. The record may have changed since its key was listed; this
+  // version of it counts, because each deleting transaction compares it.
   void OnRecord(const std::string& aJob, const kv::Entry& aEntry)
   {
     const auto record = jobs::ReadJobRecord(aEntry);
@@ -194,51 +197,52 @@
     const auto since = ended > 0 ? ended : mSeen.Since(aEntry.mKey, aEntry.mModifyIndex, mClock());
     if (!IsExpired(since)) {
       if (ended > 0) {
-        mEnds.Keep(aJob, ended);
+        mEndTimes.Set(aJob, ended);
       }
       NextJob();
       return;
     }
-    if (mPage.IsElsewhere(aJob)) {
-      mDeletion = JobDeletion::OfRecordAlone(aEntry.mKey, aEntry.mModifyIndex);
+    if (mPage.IsInOtherRegion(aJob)) {
+      mDeletion = JobDeletion::ForRecordOnly(aEntry.mKey, aEntry.mModifyIndex);
       Delete();
       return;
     }
-    mDeletion = JobDeletion::OfRecord(aJob, mRegions, aEntry.mKey, aEntry.mModifyIndex);
-    Names(
+    mDeletion = JobDeletion::ForExpiredJob(aJob, mRegions, aEntry.mKey, aEntry.mModifyIndex);
+    ReadNames(
       "answers/" + aJob + "/", "", mSettings.mLongNamesLimit,
       [this, aJob](const kv::NameList& aPieces) {
         for (const auto& it : aPieces.mNames) {
           mDeletion.AddPiece(it);
         }
-        DeleteIfPossible(aJob);
+        DeleteOrSkip(aJob);
       },
       [this, aJob] { Skip(aJob); });
   }
 
-  void OnOrphans(const std::string& aJob, const kv::NameList& aPieces)
+  void OnOrphanedPieces(const std::string& aJob, const kv::NameList& aPieces)
   {
     const auto since = mSeen.Since("answers/" + aJob, aPieces.mIndex, mClock());
     if (aPieces.mNames.empty() || !IsExpired(since)) {
       NextJob();
       return;
     }
-    mDeletion = JobDeletion::OfOrphans(aJob, mRegions);
+    mDeletion = JobDeletion::ForOrphanedPieces(aJob, mRegions);
     mPieces = aPieces.mNames;
     ReadPieces(aJob);
   }
 
-  // Without a record, only the versions of the pieces tell whether a job writes them anew.
+  // Reads the versions of the pieces, because without a record only they show whether a job has
+  // written the pieces again by the time of the delete.
   void ReadPieces(const std::string& aJob)
   {
     const auto key = Pop(mPieces);
     if (!key) {
-      DeleteIfPossible(aJob);
+      DeleteOrSkip(aJob);
       return;
     }
     mCalls.Get(*key, [=, this](std::error_code aError, const std::optional<kv::Entry>& aEntry) {
       if (aError) {
-        End({ SweepEnd::Kind::ReadFailed, "read " + *key + ": " + aError.message() });
+        End({ SweepOutcome::Kind::ReadFailed, "read " + *key + ": " + aError.message() });
         return;
       }
       if (aEntry) {
@@ -255,9 +259,9 @@
     NextJob();
   }
 
-  void DeleteIfPossible(const std::string& aJob)
+  void DeleteOrSkip(const std::string& aJob)
   {
-    if (mDeletion.IsPossible()) {
+    if (mDeletion.HasRoomForDeletes()) {
       Delete();
     } else {
       Skip(aJob);
@@ -270,12 +274,12 @@
       NextJob();
       return;
     }
-    mCalls.Transact(mDeletion.Batch(),
+    mCalls.Transact(mDeletion.NextBatch(),
                     [this](std::error_code aError, const kv::TransactionResult& aResult) {
                       if (aError) {
-                        End({ SweepEnd::Kind::DeleteFailed, "delete: " + aError.message() });
+                        End({ SweepOutcome::Kind::DeleteFailed, "delete: " + aError.message() });
                       } else if (aResult.mApplied) {
-                        mDeletion.Applied(mReport);
+                        mDeletion.OnApplied(mReport);
                         Delete();
                       } else {
                         ++mReport.mSkipped;
@@ -284,30 +288,30 @@
                     });
   }
 
-  void End(const SweepEnd& aEnd)
+  void End(const SweepOutcome& aOutcome)
   {
-    const bool complete = aEnd.mKind == SweepEnd::Kind::Complete;
-    mEnds.EndPass(complete);
+    const bool complete = aOutcome.mKind == SweepOutcome::Kind::Complete;
+    mEndTimes.EndPass(complete);
     mSeen.EndPass(complete);
     mPage = {};
-    std::exchange(mDone, {})(aEnd);
+    std::exchange(mDone, {})(aOutcome);
   }
 
-  PacedCalls<Store>& mCalls;
+  RateLimitedCalls<Store>& mCalls;
   Random& mRandom;
   RegionId mRegion;
   const SweeperSettings& mSettings;
   const WallClock& mClock;
   SweepReport& mReport;
   SweepCallback mDone;
-  // When the done jobs of the own region ended, in milliseconds since 1970.
-  PassMap<std::int64_t> mEnds;
+  // When the done jobs of this region ended, in milliseconds since 1970.
+  PassMap<std::int64_t> mEndTimes;
   FirstSeen mSeen;
   std::set<std::string> mRegions;
-  PageWalk mWalk;
+  PrefixPager mPager;
   JobPage mPage;
-  std::vector<std::string> mOwnDone;
-  std::vector<std::string> mWithoutRecord;
+  std::vector<std::string> mLocalDoneJobs;
+  std::vector<std::string> mOrphanedJobs;
   std::vector<std::string> mPieces;
   JobDeletion mDeletion;
 };
--- a/src/retention/KeySweep.h
+++ b/src/retention/KeySweep.h
@@ -2,9 +2,9 @@
 
 #include "base/Random.h"
 #include "retention/DeletionQueue.h"
-#include "retention/PacedCalls.h"
-#include "retention/PageWalk.h"
-#include "retention/SweepEnd.h"
+#include "retention/PrefixPager.h"
+#include "retention/RateLimitedCalls.h"
+#include "retention/SweepOutcome.h"
 
 #include <functional>
 #include <optional>
@@ -14,41 +14,43 @@
 
 namespace lovagerock::retention {
 
-// Deletes the expired keys below one prefix, page by page, with the values of one page in memory.
+// Deletes the expired keys below one prefix, page by page, so that only the values of one page are
+// in memory.
 template<kv::KeyValueStore Store>
 class KeySweep
 {
 public:
-  // Finds the expired keys of a page.
+  // Returns the expired keys among the entries of a page.
   using Finder = std::function<std::vector<Deletion>(const std::vector<kv::Entry>&)>;
 
-  KeySweep(PacedCalls<Store>& aCalls, Random& aRandom, SweepReport& aReport)
+  KeySweep(RateLimitedCalls<Store>& aCalls, Random& aRandom, SweepReport& aReport)
     : mCalls(aCalls)
     , mRandom(aRandom)
     , mReport(aReport)
   {
   }
 
-  void Run(std::string aBase, PageWalk aWalk, Finder aFinder, SweepCallback aDone)
+  void Run(std::string aBase, PrefixPager aPager, Finder aFinder, SweepCallback aDone)
   {
     mBase = std::move(aBase);
-    mWalk = std::move(aWalk);
+    mPager = std::move(aPager);
     mFinder = std::move(aFinder);
     mDone = std::move(aDone);
-    const auto prefix = mBase + mWalk.Sample();
+    const auto prefix = mBase + mPager.SamplePage();
     mCalls.ListPage(prefix,
                     [this, prefix](std::error_code aError, const std::vector<kv::Entry>& aEntries) {
                       if (aError && aError != make_error_code(kv::KvError::TooLarge)) {
                         OnReadFailed(prefix, aError);
                         return;
                       }
-                      mWalk.Start(aError ? std::nullopt : std::optional(SizeOf(aEntries)));
+                      mPager.Start(aError ? std::nullopt : std::optional(SizeOf(aEntries)));
                       NextPage();
                     });
   }
 
 private:
-  // The size in an answer of the service: the value in base64, with about 90 bytes of names.
+  // Returns the approximate size of the entries in a response of the service, which has the values
+  // in base64 and about 90 bytes of field names for each entry.
   static Bytes SizeOf(const std::vector<kv::Entry>& aEntries)
   {
     std::size_t n = 0;
@@ -60,12 +62,12 @@
 
   void OnReadFailed(const std::string& aPrefix, std::error_code aError)
   {
-    End({ SweepEnd::Kind::ReadFailed, "list " + aPrefix + ": " + aError.message() });
+    End({ SweepOutcome::Kind::ReadFailed, "list " + aPrefix + ": " + aError.message() });
   }
 
   void NextPage()
   {
-    const auto page = mWalk.Next(mRandom);
+    const auto page = mPager.Next(mRandom);
     if (!page) {
       End({});
       return;
@@ -74,13 +76,13 @@
     mCalls.ListPage(
       prefix, [this, prefix, page](std::error_code aError, const std::vector<kv::Entry>& aEntries) {
         if (aError == make_error_code(kv::KvError::TooLarge)) {
-          mWalk.Split(*page);
+          mPager.Split(*page);
           NextPage();
         } else if (aError) {
           OnReadFailed(prefix, aError);
         } else {
           mReport.mListed += static_cast<std::int64_t>(aEntries.size());
-          mQueue.Fill(mFinder(aEntries));
+          mQueue.Reset(mFinder(aEntries));
           Delete();
         }
       });
@@ -92,29 +94,29 @@
       NextPage();
       return;
     }
-    mCalls.Transact(mQueue.Batch(),
+    mCalls.Transact(mQueue.NextBatch(),
                     [this](std::error_code aError, const kv::TransactionResult& aResult) {
                       if (aError) {
-                        End({ SweepEnd::Kind::DeleteFailed, "delete: " + aError.message() });
+                        End({ SweepOutcome::Kind::DeleteFailed, "delete: " + aError.message() });
                         return;
                       }
                       if (aResult.mApplied) {
-                        mQueue.Applied(mReport);
+                        mQueue.OnApplied(mReport);
                       } else {
-                        mQueue.Refused(aResult.mFailed, mReport);
+                        mQueue.OnRefused(aResult.mFailed, mReport);
                       }
                       Delete();
                     });
   }
 
-  // The callback may start the next sweep.
-  void End(const SweepEnd& aEnd) { std::exchange(mDone, {})(aEnd); }
+  // Clears mDone before the call, because the callback may start the next sweep.
+  void End(const SweepOutcome& aOutcome) { std::exchange(mDone, {})(aOutcome); }
 
-  PacedCalls<Store>& mCalls;
+  RateLimitedCalls<Store>& mCalls;
   Random& mRandom;
   SweepReport& mReport;
   std::string mBase;
-  PageWalk mWalk;
+  PrefixPager mPager;
   Finder mFinder;
   SweepCallback mDone;
   DeletionQueue mQueue;
--- a/src/retention/PassMap.h
+++ b/src/retention/PassMap.h
@@ -9,44 +9,45 @@
 
 namespace lovagerock::retention {
 
-// What is known of keys from one pass over them to the next. Keys that a whole pass doesn't name
-// are forgotten. Keys are kept as hashes: about 40 bytes each, in place of 150 with their text.
+// Stores a value per key from one pass over the keys to the next. A key that is not set during a
+// complete pass is removed. Keys are stored as hashes, which takes about 40 bytes per key instead
+// of 150 with the text.
 template<typename Value>
 class PassMap
 {
 public:
-  // What an earlier part of this pass or the last pass knows; null if nothing.
+  // Returns the value set in this pass or else in the previous one; null if there is none.
   const Value* Find(std::string_view aKey) const
   {
     const auto hash = HashText(aKey);
-    const auto it = mNext.find(hash);
-    if (it != mNext.end()) {
+    const auto it = mCurrent.find(hash);
+    if (it != mCurrent.end()) {
       return &it->second;
     }
-    const auto last = mLast.find(hash);
-    return last == mLast.end() ? nullptr : &last->second;
+    const auto previous = mPrevious.find(hash);
+    return previous == mPrevious.end() ? nullptr : &previous->second;
   }
 
-  // Names the key in this pass.
-  void Keep(std::string_view aKey, Value aValue)
+  // Sets the key's value in this pass.
+  void Set(std::string_view aKey, Value aValue)
   {
     const auto hash = HashText(aKey);
-    mLast.erase(hash);
-    mNext[hash] = std::move(aValue);
+    mPrevious.erase(hash);
+    mCurrent[hash] = std::move(aValue);
   }
 
-  // After a pass that was cut short nothing is forgotten.
+  // Removes the keys that were not set in this pass, unless the pass was cut short.
   void EndPass(bool aComplete)
   {
     if (!aComplete) {
-      mNext.merge(mLast);
+      mCurrent.merge(mPrevious);
     }
-    mLast = std::exchange(mNext, {});
+    mPrevious = std::exchange(mCurrent, {});
   }
 
 private:
-  std::unordered_map<std::uint64_t, Value> mLast;
-  std::unordered_map<std::uint64_t, Value> mNext;
+  std::unordered_map<std::uint64_t, Value> mPrevious;
+  std::unordered_map<std::uint64_t, Value> mCurrent;
 };
 
 } // namespace lovagerock::retention
--- a/src/retention/PageWalk.cpp
+++ b/src/retention/PrefixPager.cpp
@@ -1,4 +1,4 @@
-#include "retention/PageWalk.h"
+#include "retention/PrefixPager.h"
 
 #include <algorithm>
 #include <utility>
@@ -13,15 +13,15 @@
 } // namespace
 } // namespace detail
 
-PageWalk::PageWalk(std::string aStem, std::string_view aAlphabet, Bytes aLimit)
-  : mStem(std::move(aStem))
+PrefixPager::PrefixPager(std::string aCommonPrefix, std::string_view aAlphabet, Bytes aLimit)
+  : mCommonPrefix(std::move(aCommonPrefix))
   , mAlphabet(aAlphabet)
   , mLimit(aLimit)
 {
 }
 
 void
-PageWalk::Start(std::optional<Bytes> aSample)
+PrefixPager::Start(std::optional<Bytes> aSample)
 {
   constexpr std::int64_t kDigit = 16;
   const auto sample = aSample ? aSample->Value() : mLimit.Value() + 1;
@@ -33,24 +33,24 @@
   if (sample * kDigit * kDigit <= mLimit.Value()) {
     return;
   }
-  for (std::size_t n = 0; n <= mStem.size(); ++n) {
-    split(mStem.substr(0, n));
+  for (std::size_t n = 0; n <= mCommonPrefix.size(); ++n) {
+    split(mCommonPrefix.substr(0, n));
   }
   if (sample * kDigit <= mLimit.Value()) {
     return;
   }
   for (const auto first : detail::kHexDigits) {
-    split(mStem + first);
+    split(mCommonPrefix + first);
     for (const auto second : detail::kHexDigits) {
       if (sample > mLimit.Value()) {
-        split(mStem + first + second);
+        split(mCommonPrefix + first + second);
       }
     }
   }
 }
 
 std::optional<std::string>
-PageWalk::Next(Random& aRandom)
+PrefixPager::Next(Random& aRandom)
 {
   if (mPages.empty()) {
     return std::nullopt;
@@ -62,7 +62,7 @@
 }
 
 void
-PageWalk::Split(const std::string& aPage)
+PrefixPager::Split(const std::string& aPage)
 {
   for (const auto it : mAlphabet) {
     mPages.push_back(aPage + it);
--- a/src/retention/PacedCalls.h
+++ b/src/retention/RateLimitedCalls.h
@@ -19,14 +19,15 @@
 
 namespace lovagerock::retention {
 
-// The sweeper's calls to the key-value service: one at a time, at a bounded rate, repeated after
-// failures that may pass. The rate holds over runs and roles. Belongs to its loop.
+// Makes the sweeper's calls to the key-value service: one at a time, at a bounded rate, with failed
+// calls retried. The rate limit also holds across runs and across Close() and Open(). To be used on
+// the thread of its event loop only.
 template<kv::KeyValueStore Store>
-class PacedCalls
+class RateLimitedCalls
 {
 public:
-  PacedCalls(EventLoop& aLoop, Store& aStore, Random& aRandom, const SweeperSettings& aSettings,
-             SweepReport& aReport)
+  RateLimitedCalls(EventLoop& aLoop, Store& aStore, Random& aRandom,
+                   const SweeperSettings& aSettings, SweepReport& aReport)
     : mLoop(aLoop)
     , mStore(aStore)
     , mRandom(aRandom)
@@ -35,13 +36,13 @@
   {
   }
 
-  // Calls are made only between Open() and Close(). Close() drops the callback of a call that waits
-  // or is under way.
-  void Open() { mTerm = std::make_shared<int>(); }
+  // Calls may be made only between Open() and Close(). Close() drops a call that waits and the
+  // callback of a call in flight.
+  void Open() { mOpenToken = std::make_shared<int>(); }
   void Close()
   {
     mTimer.Cancel();
-    mTerm.reset();
+    mOpenToken.reset();
   }
 
   void Get(std::string aKey, kv::GetCallback aCallback)
@@ -69,7 +70,9 @@
       std::move(aCallback), 0);
   }
 
-  // The same transaction is repeated: what a lost answer hides is told by its comparisons.
+  // A retry sends the same operations. If the transaction took effect and only its response was
+  // lost, repeating its deletes changes nothing, or its version checks fail and the caller skips
+  // the keys.
   void Transact(std::vector<kv::Operation> aOperations, kv::TransactCallback aCallback)
   {
     Write(std::make_shared<std::vector<kv::Operation>>(std::move(aOperations)),
@@ -80,20 +83,21 @@
   template<typename Result>
   using Callback = std::function<void(std::error_code, Result)>;
 
-  // Wraps a callback so that it is dropped once the calls are closed.
+  // Wraps a callback so that it does nothing after Close().
   template<typename Function>
   auto Guarded(Function aFunction)
   {
-    return [weak = std::weak_ptr(mTerm), function = std::move(aFunction)](auto&&... aArguments) {
-      if (!weak.expired()) {
-        function(std::forward<decltype(aArguments)>(aArguments)...);
-      }
-    };
+    return
+      [weak = std::weak_ptr(mOpenToken), function = std::move(aFunction)](auto&&... aArguments) {
+        if (!weak.expired()) {
+          function(std::forward<decltype(aArguments)>(aArguments)...);
+        }
+      };
   }
 
   static TimePoint Now() { return std::chrono::steady_clock::now(); }
 
-  // Calls once after the delay and not before the given time.
+  // Calls aFunction once, after aDelay and not before aNotBefore.
   template<typename Function>
   void After(Duration aDelay, TimePoint aNotBefore, Function aFunction)
   {
@@ -107,8 +111,9 @@
     return aFailures == 0 ? Duration(0) : mRandom.Jitter(mSettings.mRetryDelay);
   }
 
-  // Whether a call that failed so often in a row is repeated.
-  bool IsRepeated(std::error_code aError, int aFailures)
+  // Whether to repeat a call that had already failed aFailures times in a row before aError. Counts
+  // the failure. TooLarge is not retried, because the caller has to ask for less.
+  bool ShouldRetry(std::error_code aError, int aFailures)
   {
     if (!aError || aError == make_error_code(kv::KvError::TooLarge)) {
       return false;
@@ -124,7 +129,7 @@
       ++mReport.mReads;
       mNextRead = Now() + mSettings.mReadPeriod;
       aCall(Guarded([=, this](std::error_code aError, Result aResult) {
-        if (IsRepeated(aError, aFailures)) {
+        if (ShouldRetry(aError, aFailures)) {
           Read<Result>(aCall, aCallback, aFailures + 1);
         } else {
           aCallback(aError, std::move(aResult));
@@ -142,10 +147,11 @@
       mStore.Transact(*aOperations, Guarded([=, this](std::error_code aError,
                                                       const kv::TransactionResult& aResult) {
         mNextWrite = Now() + mSettings.mTransactionPeriod;
-        // A refusal without a position is not understood.
-        const bool strange = !aError && !aResult.mApplied && aResult.mFailed.empty();
-        const auto ec = strange ? make_error_code(kv::KvError::Unavailable) : aError;
-        if (IsRepeated(ec, aFailures)) {
+        // A refused transaction must name the operations that failed; if it names none, the
+        // response is treated as a failed call.
+        const bool malformed = !aError && !aResult.mApplied && aResult.mFailed.empty();
+        const auto ec = malformed ? make_error_code(kv::KvError::Unavailable) : aError;
+        if (ShouldRetry(ec, aFailures)) {
           Write(aOperations, aCallback, aFailures + 1);
         } else {
           aCallback(ec, aResult);
@@ -162,7 +168,7 @@
   TimePoint mNextRead;
   TimePoint mNextWrite;
   Timer mTimer;
-  std::shared_ptr<int> mTerm;
+  std::shared_ptr<int> mOpenToken;
 };
 
 } // namespace lovagerock::retention
--- a/src/retention/RecordExpiry.cpp
+++ b/src/retention/RecordExpiry.cpp
@@ -22,10 +22,10 @@
   return record ? record->mAppliedMs : 0;
 }
 
-// aTime gives an entry's stored time; 0 stands for none.
+// aTime returns an entry's stored time in milliseconds since 1970, or 0 if it has none.
 std::vector<Deletion>
 FindExpired(const std::vector<kv::Entry>& aEntries, DeletionKind aKind,
-            std::int64_t (*aTime)(const kv::Entry&), Duration aLimit, std::int64_t aNow,
+            std::int64_t (*aTime)(const kv::Entry&), Duration aRetention, std::int64_t aNow,
             FirstSeen& aSeen)
 {
   std::vector<Deletion> expired;
@@ -34,7 +34,7 @@
     if (since <= 0) {
       since = aSeen.Since(it.mKey, it.mModifyIndex, aNow);
     }
-    if (aNow - since >= aLimit.count()) {
+    if (aNow - since >= aRetention.count()) {
       expired.push_back({ aKind, it.mKey, it.mModifyIndex });
     }
   }
@@ -45,17 +45,18 @@
 } // namespace detail
 
 std::vector<Deletion>
-FindExpiredClaims(const std::vector<kv::Entry>& aEntries, Duration aLimit, std::int64_t aNow,
+FindExpiredClaims(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
                   FirstSeen& aSeen)
 {
-  return detail::FindExpired(aEntries, DeletionKind::Claim, detail::ClaimTime, aLimit, aNow, aSeen);
+  return detail::FindExpired(aEntries, DeletionKind::Claim, detail::ClaimTime, aRetention, aNow,
+                             aSeen);
 }
 
 std::vector<Deletion>
-FindExpiredChanges(const std::vector<kv::Entry>& aEntries, Duration aLimit, std::int64_t aNow,
+FindExpiredChanges(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
                    FirstSeen& aSeen)
 {
-  return detail::FindExpired(aEntries, DeletionKind::Change, detail::ChangeTime, aLimit, aNow,
+  return detail::FindExpired(aEntries, DeletionKind::Change, detail::ChangeTime, aRetention, aNow,
                              aSeen);
 }
 
--- a/src/retention/RecordExpiry.h
+++ b/src/retention/RecordExpiry.h
@@ -9,16 +9,16 @@
 
 namespace lovagerock::retention {
 
-// The claims, in any state, that are older than the limit. Unreadable ones and ones without a time
-// count from when they were first seen.
+// Returns the claims, in any state, that have reached the age aRetention. The age of claims that
+// cannot be parsed or have no time counts from when they were first seen.
 std::vector<Deletion>
-FindExpiredClaims(const std::vector<kv::Entry>& aEntries, Duration aLimit, std::int64_t aNow,
+FindExpiredClaims(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
                   FirstSeen& aSeen);
 
-// The change records that are older than the limit; those without a time count from when they were
-// first seen.
+// Returns the change records that have reached the age aRetention. The age of records that cannot
+// be parsed or have no time counts from when they were first seen.
 std::vector<Deletion>
-FindExpiredChanges(const std::vector<kv::Entry>& aEntries, Duration aLimit, std::int64_t aNow,
+FindExpiredChanges(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
                    FirstSeen& aSeen);
 
 } // namespace lovagerock::retention
--- a/src/retention/Sweeper.h
+++ b/src/retention/Sweeper.h
@@ -5,7 +5,7 @@
 #include "base/WallClock.h"
 #include "retention/JobSweep.h"
 #include "retention/KeySweep.h"
-#include "retention/PacedCalls.h"
+#include "retention/RateLimitedCalls.h"
 #include "retention/RecordExpiry.h"
 #include "retention/SweeperSettings.h"
 
@@ -18,9 +18,10 @@
 namespace lovagerock::retention {
 
 // Deletes expired keys from the key-value service: claims, change records, done jobs with their
-// answers, and answers of jobs that have no record. Runs only on the region's planner node, between
-// Start() and Stop(). Every transaction compares the versions that were read, so that a sweeper
-// whose role was lost or two of them at once do no harm. Belongs to its loop.
+// answers, and answers of jobs that have no record. Runs between Start() and Stop(), on the node
+// that has the region's planner role. Every transaction compares the versions that were read, so
+// that a sweeper that has lost the role, or two sweepers at once, delete no key that is in use. To
+// be used on the thread of its event loop only.
 template<kv::KeyValueStore Store>
 class Sweeper
 {
@@ -32,15 +33,15 @@
     , mSettings(aSettings)
     , mClock(std::move(aClock))
     , mCalls(aLoop, aStore, aRandom, mSettings, mReport)
-    , mKeys(mCalls, aRandom, mReport)
-    , mJobs(mCalls, aRandom, std::move(aRegion), mSettings, mClock, mReport)
+    , mKeySweep(mCalls, aRandom, mReport)
+    , mJobSweep(mCalls, aRandom, std::move(aRegion), mSettings, mClock, mReport)
   {
   }
   Sweeper(const Sweeper&) = delete;
   Sweeper& operator=(const Sweeper&) = delete;
 
-  // The planner role is taken: the first run starts after a jittered delay. Does nothing if
-  // already started.
+  // Called when the node takes the planner role. The first run starts after a jittered delay. Does
+  // nothing if already started.
   void Start()
   {
     if (!mStarted) {
@@ -50,7 +51,8 @@
     }
   }
 
-  // The planner role is lost: sends no further call. A call under way is not awaited.
+  // Called when the node loses the planner role. Sends no further call and doesn't wait for a call
+  // in flight.
   void Stop()
   {
     mStarted = false;
@@ -63,13 +65,13 @@
   }
 
   bool IsRunning() const { return mRunning; }
-  // The last run that ended; nothing before that.
+  // Returns the report of the last run that ended; nullopt if none has ended yet.
   const std::optional<SweepReport>& LastReport() const { return mLastReport; }
 
 private:
   using Finder = std::vector<Deletion> (*)(const std::vector<kv::Entry>&, Duration, std::int64_t,
                                            FirstSeen&);
-  // The characters of claims, which are hashes, and those of change ids.
+  // The characters of claim names, which are hashes, and those of change ids.
   static constexpr std::string_view kHashAlphabet = "0123456789abcdef";
   static constexpr std::string_view kIdAlphabet =
     "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-";
@@ -82,14 +84,14 @@
     SweepClaims();
   }
 
-  // A failed read ends only the sweep of its kind of keys: it must not keep the others from being
-  // deleted.
-  void EndPart(const SweepEnd& aEnd, const std::function<void()>& aNext)
+  // Continues with aNext unless a delete failed. A failed read ends only the sweep of its kind of
+  // keys, because the other kinds must still be deleted.
+  void EndPart(const SweepOutcome& aOutcome, const std::function<void()>& aNext)
   {
-    if (aEnd.mKind != SweepEnd::Kind::Complete) {
-      mReport.mReason = aEnd.mReason;
+    if (aOutcome.mKind != SweepOutcome::Kind::Complete) {
+      mReport.mReason = aOutcome.mReason;
     }
-    if (aEnd.mKind == SweepEnd::Kind::DeleteFailed) {
+    if (aOutcome.mKind == SweepOutcome::Kind::DeleteFailed) {
       EndRun();
     } else {
       aNext();
@@ -102,12 +104,12 @@
                      [this](std::error_code aError, kv::NameList aAccounts) {
                        if (aError) {
                          EndPart(
-                           { SweepEnd::Kind::ReadFailed, "list claims/: " + aError.message() },
+                           { SweepOutcome::Kind::ReadFailed, "list claims/: " + aError.message() },
                            [this] { SweepChanges(); });
                          return;
                        }
                        mAccounts = std::move(aAccounts.mNames);
-                       mComplete = true;
+                       mPartComplete = true;
                        SweepAccount();
                      });
   }
@@ -115,43 +117,44 @@
   void SweepAccount()
   {
     if (mAccounts.empty()) {
-      mSeenClaims.EndPass(mComplete);
+      mSeenClaims.EndPass(mPartComplete);
       SweepChanges();
       return;
     }
     const auto account = std::move(mAccounts.back());
     mAccounts.pop_back();
-    SweepKeys(account, PageWalk("", kHashAlphabet, mSettings.mPageLimit), &FindExpiredClaims,
-              mSettings.mClaimLimit, mSeenClaims, [this] { SweepAccount(); });
+    SweepKeys(account, PrefixPager("", kHashAlphabet, mSettings.mPageLimit), &FindExpiredClaims,
+              mSettings.mClaimRetention, mSeenClaims, [this] { SweepAccount(); });
   }
 
   void SweepChanges()
   {
-    mComplete = true;
-    SweepKeys("changes/", PageWalk("c-", kIdAlphabet, mSettings.mPageLimit), &FindExpiredChanges,
-              mSettings.mChangeLimit, mSeenChanges, [this] {
-                mSeenChanges.EndPass(mComplete);
+    mPartComplete = true;
+    SweepKeys("changes/", PrefixPager("c-", kIdAlphabet, mSettings.mPageLimit), &FindExpiredChanges,
+              mSettings.mChangeRetention, mSeenChanges, [this] {
+                mSeenChanges.EndPass(mPartComplete);
                 SweepJobs();
               });
   }
 
-  void SweepKeys(const std::string& aBase, PageWalk aWalk, Finder aFinder, Duration aLimit,
+  void SweepKeys(const std::string& aBase, PrefixPager aPager, Finder aFinder, Duration aRetention,
                  FirstSeen& aSeen, const std::function<void()>& aNext)
   {
-    mKeys.Run(
-      aBase, std::move(aWalk),
-      [this, aFinder, aLimit, &aSeen](const std::vector<kv::Entry>& aEntries) {
-        return aFinder(aEntries, aLimit, mClock(), aSeen);
+    mKeySweep.Run(
+      aBase, std::move(aPager),
+      [this, aFinder, aRetention, &aSeen](const std::vector<kv::Entry>& aEntries) {
+        return aFinder(aEntries, aRetention, mClock(), aSeen);
       },
-      [this, aNext](const SweepEnd& aEnd) {
-        mComplete = mComplete && aEnd.mKind == SweepEnd::Kind::Complete;
-        EndPart(aEnd, aNext);
+      [this, aNext](const SweepOutcome& aOutcome) {
+        mPartComplete = mPartComplete && aOutcome.mKind == SweepOutcome::Kind::Complete;
+        EndPart(aOutcome, aNext);
       });
   }
 
   void SweepJobs()
   {
-    mJobs.Run([this](const SweepEnd& aEnd) { EndPart(aEnd, [this] { EndRun(); }); });
+    mJobSweep.Run(
+      [this](const SweepOutcome& aOutcome) { EndPart(aOutcome, [this] { EndRun(); }); });
   }
 
   void EndRun()
@@ -172,15 +175,15 @@
   SweeperSettings mSettings;
   WallClock mClock;
   SweepReport mReport;
-  PacedCalls<Store> mCalls;
-  KeySweep<Store> mKeys;
-  JobSweep<Store> mJobs;
+  RateLimitedCalls<Store> mCalls;
+  KeySweep<Store> mKeySweep;
+  JobSweep<Store> mJobSweep;
   FirstSeen mSeenClaims;
   FirstSeen mSeenChanges;
-  // Prefixes of the accounts whose claims are still to be read.
+  // Key prefixes of the client accounts whose claims are still to be read.
   std::vector<std::string> mAccounts;
-  // Whether all pages of the present kind were read.
-  bool mComplete = true;
+  // Whether the sweep of the current kind of keys (claims or changes) has had no failure so far.
+  bool mPartComplete = true;
   bool mStarted = false;
   bool mRunning = false;
   std::optional<SweepReport> mLastReport;
--- a/tests/retention/RetentionFixture.h
+++ b/tests/retention/RetentionFixture.h
@@ -16,10 +16,11 @@
 
 namespace lovagerock::retention {
 
-constexpr std::int64_t kDay = 24 * 60 * 60 * 1000;
-constexpr std::int64_t kNow = 100 * kDay;
+constexpr std::int64_t kDayMs = 24 * 60 * 60 * 1000;
+constexpr std::int64_t kNowMs = 100 * kDayMs;
 
-// A memory store that counts calls and lets a test act between a read and a delete.
+// A memory store that counts calls, can fail the listing of one prefix, and calls mBeforeTransact
+// before each transaction, so that a test can change keys between a read and a delete.
 struct ObservedStore
 {
   explicit ObservedStore(EventLoop& aLoop)
@@ -46,9 +47,9 @@
   {
     ++mLists;
     mMemory.ListNames(aPrefix, aSeparator, aLimit,
-                      [=, this, fails = aPrefix == mFailedList](std::error_code aError,
-                                                                const kv::NameList& aNames) {
-                        mTooLarge += aError == make_error_code(kv::KvError::TooLarge) ? 1 : 0;
+                      [=, this, fails = aPrefix == mFailingPrefix](std::error_code aError,
+                                                                   const kv::NameList& aNames) {
+                        mTooLargeCount += aError == make_error_code(kv::KvError::TooLarge) ? 1 : 0;
                         aCallback(fails ? make_error_code(kv::KvError::BadAnswer) : aError, aNames);
                       });
   }
@@ -76,17 +77,17 @@
 
   kv::MemoryStore mMemory;
   std::function<void(const std::vector<kv::Operation>&)> mBeforeTransact;
-  std::string mFailedList;
-  // The keys of all deletes that were asked for.
+  std::string mFailingPrefix;
+  // The keys of all deletes in the transactions so far, whether they were applied or not.
   std::vector<std::string> mDeletes;
   std::size_t mLists = 0;
   std::size_t mGets = 0;
-  // Listings of names that were refused because of their size.
-  int mTooLarge = 0;
+  // Number of ListNames() calls that failed with TooLarge.
+  int mTooLargeCount = 0;
   std::size_t mTransactions = 0;
 };
 
-// A sweeper with short delays over a store that tests fill.
+// A sweeper with short delays and an in-memory store that tests fill.
 struct Fixture
 {
   explicit Fixture(Duration aPeriod = Duration(2), Bytes aNamesLimit = Bytes(256 * 1024))
@@ -98,11 +99,11 @@
   EventLoop mLoop;
   Random mRandom{ 7 };
   ObservedStore mStore{ mLoop };
-  std::int64_t mNow = kNow;
+  std::int64_t mNowMs = kNowMs;
   kv::ModifyIndex mLastIndex = 0;
-  Timer mLimit = mLoop.After(Duration(60000), [] { cr_assert_fail("test did not finish"); });
+  Timer mTimeout = mLoop.After(Duration(60000), [] { cr_assert_fail("test did not finish"); });
   Sweeper<ObservedStore> mSweeper{ mLoop,         mStore,    mRandom,
-                                   RegionId("r"), mSettings, [this] { return mNow; } };
+                                   RegionId("r"), mSettings, [this] { return mNowMs; } };
 
   static SweeperSettings Settings(Duration aPeriod, Bytes aNamesLimit)
   {
@@ -154,11 +155,11 @@
     for (int i = 0; i < aPieces; ++i) {
       Put("answers/j/1." + std::to_string(i) + "/0", "x");
     }
-    PutJob("done/r/j", jobs::JobState::Finished, 1, kNow - 8 * kDay);
+    PutJob("done/r/j", jobs::JobState::Finished, 1, kNowMs - 8 * kDayMs);
   }
 
   // Runs the loop until the condition holds.
-  void Until(const std::function<bool()>& aCondition)
+  void RunUntil(const std::function<bool()>& aCondition)
   {
     const auto check = mLoop.Every(Duration(2), [&] {
       if (aCondition()) {
@@ -168,18 +169,18 @@
     mLoop.Run();
   }
 
-  // Takes the role, waits for one run and gives the role back.
+  // Starts the sweeper, waits for the end of one run and stops the sweeper.
   SweepReport RunOnce()
   {
     const auto lists = mStore.mLists;
     mSweeper.Start();
-    Until([&] { return mStore.mLists > lists && !mSweeper.IsRunning(); });
+    RunUntil([&] { return mStore.mLists > lists && !mSweeper.IsRunning(); });
     mSweeper.Stop();
     return *mSweeper.LastReport();
   }
 
-  // Runs so many turns of the loop.
-  void Turns(int aCount)
+  // Runs aCount turns of the event loop.
+  void RunTurns(int aCount)
   {
     const std::function<void()> turn = [&] {
       if (--aCount > 0) {
@@ -202,7 +203,7 @@
       }
       done = true;
     });
-    Until([&] { return done; });
+    RunUntil([&] { return done; });
     return keys;
   }
 };
