--- a/src/configstore/ChangeOutcome.h
+++ b/src/configstore/ChangeOutcome.h
@@ -16,26 +16,27 @@
 {
   // The file's YAML text.
   std::string mText;
-  // The version that the file was made from; 0 for none.
+  // The configuration version that the file was edited from; 0 if there was none.
   ConfigVersion mBase;
   ChangeId mChange;
   std::string mOperator;
 };
 
-// How a request to apply ended.
+// The outcome of a ChangeRequest.
 struct ChangeOutcome
 {
   enum class Kind
   {
     // Accepted; mHead is the head that the change produced.
     Applied,
-    // mProblems says why.
+    // Rejected by validation; mProblems holds the reasons.
     Invalid,
-    // mHead is the head that won.
+    // The change is not based on the newest configuration; mHead is the newest known head.
     Conflict,
-    // Not applied, and this request never will be; mMessage says why.
+    // Not applied, and this request will not take effect later; mMessage holds the reason.
     Unavailable,
-    // The answer of the write was lost and the service could not tell what came of it.
+    // The answer of the write was lost, and later reads of the key-value service did not show
+    // whether the write took effect.
     OutcomeUnknown
   };
 
--- a/src/configstore/ChangeWriter.h
+++ b/src/configstore/ChangeWriter.h
@@ -23,38 +23,39 @@
 
 namespace lovagerock::configstore {
 
-// Writes checked changes to the service: reads the head, collects promises, writes by one
-// compare-and-set transaction and settles a write whose answer is lost. Belongs to the store's
-// loop.
+// Writes validated changes to the key-value service: reads the head, collects promises from the
+// members, writes in one compare-and-set transaction and, if the answer of the write is lost, reads
+// the outcome. Must be used on the store's event loop only.
 template<kv::KeyValueStore Store, peer::PeerTransport Transport>
 class ChangeWriter
 {
 public:
-  // Called when a change was written. The outcome is told when the given function is called.
+  // Called when a change was written. The callee must call the given function to report the outcome
+  // to the requester.
   using WrittenCallback = std::function<void(AcceptedConfig, std::function<void()>)>;
-  // Gives the highest version that this node knows of.
+  // Returns the highest version that this node knows of.
   using VersionGetter = std::function<ConfigVersion()>;
-  // Gives the head of the configuration in force; version 0 for none.
+  // Returns the head of the configuration in force; its version is 0 if there is none.
   using HeadGetter = std::function<ConfigHead()>;
   using FindCallback = std::function<void(std::error_code, std::optional<ChangeRecord>)>;
 
   ChangeWriter(EventLoop& aLoop, Store& aStore, HeadWatcher<Store>& aHead,
                PromiseRound<Transport>& aPromises, Random& aRandom,
-               const ConfigStoreSettings& aSettings, VersionGetter aHighest, HeadGetter aInForce,
-               WrittenCallback aOnWritten)
+               const ConfigStoreSettings& aSettings, VersionGetter aGetHighestVersion,
+               HeadGetter aGetInForceHead, WrittenCallback aOnWritten)
     : mLoop(aLoop)
     , mStore(aStore)
-    , mHead(aHead)
+    , mHeadWatcher(aHead)
     , mPromises(aPromises)
     , mRandom(aRandom)
     , mSettings(aSettings)
-    , mHighest(std::move(aHighest))
-    , mInForce(std::move(aInForce))
+    , mGetHighestVersion(std::move(aGetHighestVersion))
+    , mGetInForceHead(std::move(aGetInForceHead))
     , mOnWritten(std::move(aOnWritten))
   {
   }
 
-  // Writes a body on top of the base version. aConfig's head has the new version.
+  // Writes aConfig, whose head has the new version (base version + 1), and its canonical text.
   void Write(AcceptedConfig aConfig, std::string aText, OutcomeCallback aCallback)
   {
     const auto attempt = std::make_shared<Attempt>();
@@ -65,16 +66,16 @@
     Find(attempt->mConfig.mHead.mChange,
          Guarded([this, attempt](std::error_code aError, std::optional<ChangeRecord> aRecord) {
            if (aError) {
-             Refuse(*attempt, "key-value service: " + aError.message());
+             CompleteUnavailable(*attempt, "key-value service: " + aError.message());
            } else if (aRecord) {
-             Repeat(attempt, *aRecord);
+             OnRecorded(attempt, *aRecord);
            } else {
              ReadBase(attempt);
            }
          }));
   }
 
-  // Reads the record of a change; nothing if it is not applied.
+  // Reads the record of a change; passes nullopt if the change was not applied.
   void Find(const ChangeId& aChange, FindCallback aCallback)
   {
     mStore.Get(ChangeKey(aChange),
@@ -95,9 +96,9 @@
     std::string mText;
     OutcomeCallback mCallback;
     kv::ModifyIndex mHeadIndex = 0;
-    TimePoint mPrepared;
-    int mReads = 0;
-    // Whether the write may take effect after an answer that was lost.
+    TimePoint mPrepareStart;
+    int mOutcomeReads = 0;
+    // The answer of the write was lost, so the write may still take effect.
     bool mMayTakeEffect = false;
   };
   using AttemptPointer = std::shared_ptr<Attempt>;
@@ -115,33 +116,35 @@
 
   void ReadBase(const AttemptPointer& aAttempt)
   {
-    mHead.Read(Guarded([this, aAttempt](std::error_code aError, const HeadReading& aReading) {
-      if (aError) {
-        Refuse(*aAttempt, "key-value service: " + aError.message());
-        return;
-      }
-      const auto version = VersionOf(aReading.mHead);
-      if (version < mHighest()) {
-        Lose(aAttempt, mInForce(),
-             "key-value service shows an older version than the one in force");
-        return;
-      }
-      if (version + ConfigVersion(1) != aAttempt->mConfig.mHead.mVersion) {
-        Conflict(*aAttempt, aReading.mHead.value_or(ConfigHead()));
-        return;
-      }
-      aAttempt->mHeadIndex = aReading.mIndex;
-      Prepare(aAttempt);
-    }));
+    mHeadWatcher.Read(
+      Guarded([this, aAttempt](std::error_code aError, const HeadReading& aReading) {
+        if (aError) {
+          CompleteUnavailable(*aAttempt, "key-value service: " + aError.message());
+          return;
+        }
+        const auto version = VersionOf(aReading.mHead);
+        if (version < mGetHighestVersion()) {
+          CompleteUnwritten(aAttempt, mGetInForceHead(),
+                            "key-value service shows an older version than the one in force");
+          return;
+        }
+        if (version + ConfigVersion(1) != aAttempt->mConfig.mHead.mVersion) {
+          CompleteConflict(*aAttempt, aReading.mHead.value_or(ConfigHead()));
+          return;
+        }
+        aAttempt->mHeadIndex = aReading.mIndex;
+        Prepare(aAttempt);
+      }));
   }
 
   void Prepare(const AttemptPointer& aAttempt)
   {
-    aAttempt->mPrepared = std::chrono::steady_clock::now();
+    aAttempt->mPrepareStart = std::chrono::steady_clock::now();
     mPromises.Run(aAttempt->mToken, aAttempt->mConfig.mHead.mVersion,
                   Guarded([this, aAttempt](bool aPromised) {
-                    // Members drop promises that are old, and this process may have been paused.
-                    const auto age = std::chrono::steady_clock::now() - aAttempt->mPrepared;
+                    // Members drop old promises, so a promise must not be used if this process was
+                    // paused after asking for it.
+                    const auto age = std::chrono::steady_clock::now() - aAttempt->mPrepareStart;
                     if (aPromised && age < 2 * mSettings.mPrepareTimeout) {
                       Transact(aAttempt);
                       return;
@@ -151,14 +154,14 @@
                   }));
   }
 
-  // A member refuses a version that it has, so the head tells who won.
+  // A member refuses a version that it already has, so the head shows which change took it.
   void OnNoPromise(const AttemptPointer& aAttempt)
   {
-    mHead.Read(Guarded([this, aAttempt](std::error_code, const HeadReading& aReading) {
-      const auto inForce = mInForce();
+    mHeadWatcher.Read(Guarded([this, aAttempt](std::error_code, const HeadReading& aReading) {
+      const auto inForce = mGetInForceHead();
       const auto read = aReading.mHead.value_or(ConfigHead());
-      Lose(aAttempt, read.mVersion > inForce.mVersion ? read : inForce,
-           "no promise from more than half of the members");
+      CompleteUnwritten(aAttempt, read.mVersion > inForce.mVersion ? read : inForce,
+                        "no promise from more than half of the members");
     }));
   }
 
@@ -173,135 +176,139 @@
         { Kind::CompareAndSet, ChangeKey(head.mChange), DumpJson(record), 0 } },
       Guarded([this, aAttempt](std::error_code aError, const kv::TransactionResult& aResult) {
         if (!aError && aResult.mApplied) {
-          Applied(aAttempt);
+          OnApplied(aAttempt);
         } else if (aError == kv::KvError::Unavailable || aError == kv::KvError::RateLimited) {
           mPromises.Abandon(aAttempt->mToken);
-          Refuse(*aAttempt, "key-value service: " + aError.message());
+          CompleteUnavailable(*aAttempt, "key-value service: " + aError.message());
         } else {
           aAttempt->mMayTakeEffect = static_cast<bool>(aError);
           if (!aError) {
             mPromises.Abandon(aAttempt->mToken);
           }
-          Settle(aAttempt);
+          ReadOutcome(aAttempt);
         }
       }));
   }
 
-  // Finds out what came of a write that was not applied or whose answer was lost.
-  void Settle(AttemptPointer aAttempt)
+  // Reads the outcome of a write that was not applied or whose answer was lost.
+  void ReadOutcome(AttemptPointer aAttempt)
   {
-    if (aAttempt->mReads++ >= mSettings.mSettleReads) {
+    if (aAttempt->mOutcomeReads++ >= mSettings.mMaxOutcomeReads) {
       mTimers.erase(aAttempt->mToken);
       LogEvent("config_outcome_unknown", LogLevel::Warning)
         .With("change", aAttempt->mConfig.mHead.mChange);
-      Tell(*aAttempt, { ChangeOutcome::Kind::OutcomeUnknown, {}, {}, {} });
+      Complete(*aAttempt, { ChangeOutcome::Kind::OutcomeUnknown, {}, {}, {} });
       return;
     }
-    // The record is read after the head, so that a change that the head already replaced is found.
-    mHead.Read(Guarded([this, aAttempt](std::error_code aError, const HeadReading& aReading) {
-      if (aError) {
-        SettleLater(aAttempt);
-        return;
-      }
-      Find(aAttempt->mConfig.mHead.mChange,
-           Guarded([this, aAttempt, head = aReading.mHead](std::error_code aFindError,
-                                                           std::optional<ChangeRecord> aRecord) {
-             OnSettled(aAttempt, head, aFindError, aRecord);
-           }));
-    }));
+    // The record is read after the head, so that the change is found even if a later one has
+    // already replaced it as the head.
+    mHeadWatcher.Read(
+      Guarded([this, aAttempt](std::error_code aError, const HeadReading& aReading) {
+        if (aError) {
+          ReadOutcomeLater(aAttempt);
+          return;
+        }
+        Find(aAttempt->mConfig.mHead.mChange,
+             Guarded([this, aAttempt, head = aReading.mHead](std::error_code aFindError,
+                                                             std::optional<ChangeRecord> aRecord) {
+               OnOutcomeRead(aAttempt, head, aFindError, aRecord);
+             }));
+      }));
   }
 
-  void OnSettled(const AttemptPointer& aAttempt, const std::optional<ConfigHead>& aHead,
-                 std::error_code aError, const std::optional<ChangeRecord>& aRecord)
+  void OnOutcomeRead(const AttemptPointer& aAttempt, const std::optional<ConfigHead>& aHead,
+                     std::error_code aError, const std::optional<ChangeRecord>& aRecord)
   {
-    // A write that is still under way can succeed only while the head is the one it expects.
+    // A write in flight can succeed only while the head is still the one that it compares with.
     const bool replaced = VersionOf(aHead) >= aAttempt->mConfig.mHead.mVersion;
     if (aError || (!aRecord && aAttempt->mMayTakeEffect && !replaced)) {
-      SettleLater(aAttempt);
+      ReadOutcomeLater(aAttempt);
       return;
     }
     mTimers.erase(aAttempt->mToken);
     if (aRecord) {
-      Repeat(aAttempt, *aRecord);
+      OnRecorded(aAttempt, *aRecord);
       return;
     }
     mPromises.Abandon(aAttempt->mToken);
-    Conflict(*aAttempt, aHead.value_or(ConfigHead()));
+    CompleteConflict(*aAttempt, aHead.value_or(ConfigHead()));
   }
 
-  void SettleLater(const AttemptPointer& aAttempt)
+  void ReadOutcomeLater(const AttemptPointer& aAttempt)
   {
     mTimers[aAttempt->mToken] =
-      mLoop.After(mSettings.mSettleDelay, [this, aAttempt] { Settle(aAttempt); });
+      mLoop.After(mSettings.mOutcomeReadDelay, [this, aAttempt] { ReadOutcome(aAttempt); });
   }
 
-  // The change is recorded, by this attempt or an earlier one of the same change.
-  void Repeat(const AttemptPointer& aAttempt, const ChangeRecord& aRecord)
+  // Handles a change that is already recorded, by this attempt or an earlier one.
+  void OnRecorded(const AttemptPointer& aAttempt, const ChangeRecord& aRecord)
   {
     const auto& head = aAttempt->mConfig.mHead;
     if (aRecord.mHash != head.mHash) {
       config::Problem problem;
       problem.mMessage = "change id was used for another file";
-      Tell(*aAttempt, { ChangeOutcome::Kind::Invalid, {}, { problem }, {} });
+      Complete(*aAttempt, { ChangeOutcome::Kind::Invalid, {}, { problem }, {} });
     } else if (aRecord.mVersion == head.mVersion) {
-      Applied(aAttempt);
+      OnApplied(aAttempt);
     } else {
       auto applied = head;
       applied.mVersion = aRecord.mVersion;
-      Tell(*aAttempt, { ChangeOutcome::Kind::Applied, applied, {}, {} });
+      Complete(*aAttempt, { ChangeOutcome::Kind::Applied, applied, {}, {} });
     }
   }
 
-  void Applied(const AttemptPointer& aAttempt)
+  void OnApplied(const AttemptPointer& aAttempt)
   {
     const auto& head = aAttempt->mConfig.mHead;
     LogEvent("config_accepted")
       .With("version", head.mVersion)
       .With("change", head.mChange)
       .With("operator", head.mOperator);
-    mOnWritten(aAttempt->mConfig, Guarded([this, aAttempt] {
-                 Tell(*aAttempt, { ChangeOutcome::Kind::Applied, aAttempt->mConfig.mHead, {}, {} });
-               }));
+    mOnWritten(
+      aAttempt->mConfig, Guarded([this, aAttempt] {
+        Complete(*aAttempt, { ChangeOutcome::Kind::Applied, aAttempt->mConfig.mHead, {}, {} });
+      }));
   }
 
-  void Conflict(Attempt& aAttempt, const ConfigHead& aWinner)
+  void CompleteConflict(Attempt& aAttempt, const ConfigHead& aWinner)
   {
-    Tell(aAttempt, { ChangeOutcome::Kind::Conflict, aWinner, {}, {} });
+    Complete(aAttempt, { ChangeOutcome::Kind::Conflict, aWinner, {}, {} });
   }
 
-  // Ends an attempt that was not written, with a known head.
-  void Lose(const AttemptPointer& aAttempt, const ConfigHead& aHead, const std::string& aReason)
+  // Completes an attempt that was not written. aHead is the newest known head.
+  void CompleteUnwritten(const AttemptPointer& aAttempt, const ConfigHead& aHead,
+                         const std::string& aReason)
   {
     const auto& own = aAttempt->mConfig.mHead;
     if (aHead.mVersion < own.mVersion) {
-      Refuse(*aAttempt, aReason);
+      CompleteUnavailable(*aAttempt, aReason);
     } else if (aHead.mChange == own.mChange && aHead.mHash == own.mHash) {
       // Another attempt of the same change won.
       aAttempt->mConfig.mHead = aHead;
-      Applied(aAttempt);
+      OnApplied(aAttempt);
     } else {
-      Conflict(*aAttempt, aHead);
+      CompleteConflict(*aAttempt, aHead);
     }
   }
 
-  void Refuse(Attempt& aAttempt, const std::string& aReason)
+  void CompleteUnavailable(Attempt& aAttempt, const std::string& aReason)
   {
-    Tell(aAttempt, { ChangeOutcome::Kind::Unavailable, {}, {}, aReason });
+    Complete(aAttempt, { ChangeOutcome::Kind::Unavailable, {}, {}, aReason });
   }
 
-  void Tell(Attempt& aAttempt, const ChangeOutcome& aOutcome)
+  void Complete(Attempt& aAttempt, const ChangeOutcome& aOutcome)
   {
     std::exchange(aAttempt.mCallback, {})(aOutcome);
   }
 
   EventLoop& mLoop;
   Store& mStore;
-  HeadWatcher<Store>& mHead;
+  HeadWatcher<Store>& mHeadWatcher;
   PromiseRound<Transport>& mPromises;
   Random& mRandom;
   ConfigStoreSettings mSettings;
-  VersionGetter mHighest;
-  HeadGetter mInForce;
+  VersionGetter mGetHighestVersion;
+  HeadGetter mGetInForceHead;
   WrittenCallback mOnWritten;
   std::map<std::string, Timer> mTimers;
   std::shared_ptr<ChangeWriter*> mAlive = std::make_shared<ChangeWriter*>(this);
--- a/src/configstore/ConfigPush.h
+++ b/src/configstore/ConfigPush.h
@@ -18,8 +18,8 @@
 
 namespace lovagerock::configstore {
 
-// Pushes accepted configurations to the other members: as a patch to those that have the previous
-// one, else whole.
+// Pushes accepted configurations to the other members: a JSON patch to those that have the previous
+// configuration, the full body to the others.
 template<peer::PeerTransport Transport>
 class ConfigPush
 {
@@ -40,8 +40,8 @@
   // included, or when no answer is outstanding.
   using Callback = std::function<void()>;
 
-  // Sends at once to all members that don't have it. aBase is the configuration before it; null for
-  // none. Calls back even if this object is destroyed.
+  // Sends aNext at once to all members that have not reported its version or a higher one. aBase is
+  // the previous configuration; null for none. Calls back even if this object is destroyed.
   void SendToAll(const Pointer& aBase, const Pointer& aNext, const Confirmation& aReports,
                  Callback aCallback)
   {
@@ -49,59 +49,59 @@
     const auto round = std::make_shared<Round>();
     round->mVersion = aNext->mHead.mVersion;
     round->mNeeded = mMembership.KnownCount() / 2 + 1;
-    round->mHave = 1;
+    round->mUpToDate = 1;
     round->mCallback = std::move(aCallback);
-    // Kept open until all are sent.
-    round->mOpen = 1;
+    // One extra, so that the round cannot finish before all pushes are sent.
+    round->mOutstanding = 1;
     for (const auto& it : mMembership.Members()) {
       if (it.mMember.mNode == mMembership.Self().mNode) {
         continue;
       }
       const auto* report = aReports.ReportOf(it.mMember.mNode);
       if (report && report->mVersion >= aNext->mHead.mVersion) {
-        ++round->mHave;
+        ++round->mUpToDate;
         continue;
       }
-      ++round->mOpen;
+      ++round->mOutstanding;
       if (aBase && HasBase(it.mMember, *aBase, aReports)) {
         SendPatch(it.mMember.mAddress, patch, aNext, round);
       } else {
-        SendWhole(it.mMember.mAddress, *aNext, round);
+        SendFullBody(it.mMember.mAddress, *aNext, round);
       }
     }
-    Count(*round, ConfigVersion());
+    CountAnswer(*round, ConfigVersion());
   }
 
   // Number of pushes sent so far.
-  std::uint64_t Patches() const { return mPatches; }
-  std::uint64_t WholeBodies() const { return mWholeBodies; }
+  std::uint64_t PatchCount() const { return mPatchCount; }
+  std::uint64_t FullBodyCount() const { return mFullBodyCount; }
 
 private:
-  // The members that a configuration was sent to.
+  // Progress of sending one configuration to all members.
   struct Round
   {
     ConfigVersion mVersion;
     std::size_t mNeeded = 0;
-    std::size_t mHave = 0;
-    std::size_t mOpen = 0;
+    std::size_t mUpToDate = 0;
+    std::size_t mOutstanding = 0;
     Callback mCallback;
   };
 
-  // Counts an answer with the version that the member has now; 0 for none.
-  static void Count(Round& aRound, ConfigVersion aVersion)
+  // Counts an answer. aVersion is the version that the member has now; 0 for none or on error.
+  static void CountAnswer(Round& aRound, ConfigVersion aVersion)
   {
-    --aRound.mOpen;
-    aRound.mHave += aVersion >= aRound.mVersion ? 1 : 0;
-    if (aRound.mHave >= aRound.mNeeded || aRound.mOpen == 0) {
+    --aRound.mOutstanding;
+    aRound.mUpToDate += aVersion >= aRound.mVersion ? 1 : 0;
+    if (aRound.mUpToDate >= aRound.mNeeded || aRound.mOutstanding == 0) {
       if (const auto callback = std::exchange(aRound.mCallback, {})) {
         callback();
       }
     }
   }
 
-  // Whether the member probably has the base. Its answer to the last push is newer than its last
-  // heartbeat when changes follow each other within a heartbeat period. A wrong guess is safe,
-  // because a member refuses a patch of another base and then gets the whole body.
+  // Whether the member probably has aBase. Its answer to the last push is checked as well as its
+  // last heartbeat, because it is newer when changes follow each other within a heartbeat period. A
+  // wrong result is safe: a member refuses a patch for another base and is then sent the full body.
   bool HasBase(const membership::Member& aMember, const AcceptedConfig& aBase,
                const Confirmation& aReports) const
   {
@@ -116,39 +116,40 @@
   void SendPatch(const SocketAddress& aPeer, const Json& aPatch, const Pointer& aNext,
                  const std::shared_ptr<Round>& aRound)
   {
-    ++mPatches;
+    ++mPatchCount;
     mTransport.Call(aPeer, kMethod, aPatch, mTimeout,
                     [weak = std::weak_ptr(mAlive), aPeer, aNext, aRound](std::error_code aError,
                                                                          const Json& aAnswer) {
                       const auto self = weak.lock();
                       const auto version = VersionIn(aError, aAnswer);
                       if (!self || aError) {
-                        Count(*aRound, version);
+                        CountAnswer(*aRound, version);
                         return;
                       }
                       (*self)->mAnswered[aPeer] = version.Value();
                       if (version < aNext->mHead.mVersion) {
-                        (*self)->SendWhole(aPeer, *aNext, aRound);
+                        (*self)->SendFullBody(aPeer, *aNext, aRound);
                       } else {
-                        Count(*aRound, version);
+                        CountAnswer(*aRound, version);
                       }
                     });
   }
 
-  // A lost push is made up for by the peer's own watch and by the versions in heartbeats.
-  void SendWhole(const SocketAddress& aPeer, const AcceptedConfig& aConfig,
-                 const std::shared_ptr<Round>& aRound)
+  // A lost push is not repeated: the peer also finds the version by its own watch of the head and
+  // by the versions in heartbeats.
+  void SendFullBody(const SocketAddress& aPeer, const AcceptedConfig& aConfig,
+                    const std::shared_ptr<Round>& aRound)
   {
-    ++mWholeBodies;
+    ++mFullBodyCount;
     mTransport.Call(
-      aPeer, kMethod, WriteWhole(aConfig), mTimeout,
+      aPeer, kMethod, WriteFullBody(aConfig), mTimeout,
       [weak = std::weak_ptr(mAlive), aPeer, aRound](std::error_code aError, const Json& aAnswer) {
         const auto self = weak.lock();
         const auto version = VersionIn(aError, aAnswer);
         if (self && !aError) {
           (*self)->mAnswered[aPeer] = version.Value();
         }
-        Count(*aRound, version);
+        CountAnswer(*aRound, version);
       });
   }
 
@@ -160,10 +161,10 @@
   Transport& mTransport;
   membership::Membership<Transport>& mMembership;
   Duration mTimeout;
-  // The version that each member answered to its last push, 0 for none.
+  // The version in each member's answer to its last push; 0 for none.
   std::map<SocketAddress, std::int64_t> mAnswered;
-  std::uint64_t mPatches = 0;
-  std::uint64_t mWholeBodies = 0;
+  std::uint64_t mPatchCount = 0;
+  std::uint64_t mFullBodyCount = 0;
   std::shared_ptr<ConfigPush*> mAlive = std::make_shared<ConfigPush*>(this);
 };
 
--- a/src/configstore/ConfigRecord.h
+++ b/src/configstore/ConfigRecord.h
@@ -12,18 +12,18 @@
 
 namespace lovagerock::configstore {
 
-// Keys of the key-value service.
+// Keys in the key-value service.
 inline const std::string kHeadKey = "config/head";
 inline const std::string kBodyKey = "config/body";
 
-// The key that records an applied change.
+// Returns the key of the ChangeRecord of a change.
 std::string
 ChangeKey(const ChangeId& aChange);
 
-// What identifies an accepted configuration.
+// Identifies an accepted configuration: its version and hash, and the change that produced it.
 struct ConfigHead
 {
-  // 0 stands for "no configuration yet".
+  // 0 if there is no configuration yet.
   ConfigVersion mVersion;
   // SHA-256 of the canonical text.
   std::string mHash;
@@ -39,11 +39,11 @@
   ConfigVersion mVersion;
   std::string mHash;
   // When the record was written, in milliseconds since 1970; 0 in records of older releases.
-  // Records are deleted 7 days after it.
+  // Records are deleted 7 days after this time.
   std::int64_t mAppliedMs = 0;
 };
 
-// A whole accepted configuration.
+// An accepted configuration with its content.
 struct AcceptedConfig
 {
   ConfigHead mHead;
@@ -52,7 +52,8 @@
   config::Document mDocument;
 };
 
-// JSON forms; reading gives nothing if a member is missing or malformed.
+// Conversions to and from JSON. The readers return nullopt if a required field is missing or
+// malformed.
 Json
 WriteHead(const ConfigHead& aHead);
 std::optional<ConfigHead>
@@ -62,11 +63,12 @@
 std::optional<ChangeRecord>
 ReadChange(std::string_view aText);
 
-// The version of a head if there is one, else 0.
+// Returns the version of the head; 0 if there is no head.
 ConfigVersion
 VersionOf(const std::optional<ConfigHead>& aHead);
 
-// Reads and checks a body; nothing if it is invalid or its hash differs from the head's.
+// Parses and validates a body. Returns nullopt if it is invalid or its hash differs from the
+// head's.
 std::optional<AcceptedConfig>
 ReadBody(const ConfigHead& aHead, const Json& aBody);
 
--- a/src/configstore/ConfigStore.h
+++ b/src/configstore/ConfigStore.h
@@ -31,7 +31,7 @@
 
 namespace lovagerock::configstore {
 
-// A member with what it last said about its configuration.
+// A member with the configuration status from its last report.
 struct NodeConfig
 {
   membership::MemberView mMember;
@@ -41,16 +41,17 @@
   bool mSettled = false;
 };
 
-// The configuration in force on this node: accepts changes, takes over those of other nodes and
-// knows whether it is current. Versions only go up. Belongs to the loop, as do the given objects,
-// which must outlive it. One per membership.
+// Holds the configuration in force on this node: accepts changes from operators, installs those
+// accepted by other nodes and determines whether it is current. The version in force never
+// decreases. Must be used on the event loop only, as must the objects given to the constructor,
+// which must outlive it. Create one per membership.
 template<kv::KeyValueStore Store, peer::PeerTransport Transport>
 class ConfigStore
 {
 public:
   using Pointer = std::shared_ptr<const AcceptedConfig>;
   using Listener = std::function<void(const Pointer&)>;
-  // Gives the problems of a valid document; none if it can be accepted.
+  // Returns the problems of a well-formed document; empty if it can be accepted.
   using ExtraCheck = std::function<std::vector<config::Problem>(const config::Document&)>;
   using FindCallback = std::function<void(std::error_code, std::optional<ChangeRecord>)>;
 
@@ -68,11 +69,11 @@
     , mPush(aTransport, aMembership, aSettings.mPushTimeout)
     , mPromises(aTransport, aMembership, mPromiseTable, aSettings.mPrepareTimeout,
                 [this] { return Version(); })
-    , mHead(aLoop, aStore, aRandom, aSettings,
-            [this](const HeadReading& aReading) { OnReading(aReading); })
+    , mHeadWatcher(aLoop, aStore, aRandom, aSettings,
+                   [this](const HeadReading& aReading) { OnReading(aReading); })
     , mWriter(
-        aLoop, aStore, mHead, mPromises, aRandom, aSettings,
-        [this] { return std::max(Version(), mConfirmation.HighestHeard()); },
+        aLoop, aStore, mHeadWatcher, mPromises, aRandom, aSettings,
+        [this] { return std::max(Version(), mConfirmation.HighestKnownVersion()); },
         [this] { return mInForce ? mInForce->mHead : ConfigHead(); },
         [this](AcceptedConfig aConfig, std::function<void()> aDone) {
           OnWritten(std::move(aConfig), std::move(aDone));
@@ -88,14 +89,14 @@
           (*self)->OnReport(aMember, aPayload, aSent);
         }
       });
-    HandlePeers();
+    RegisterPeerHandlers();
   }
   ConfigStore(const ConfigStore&) = delete;
   ConfigStore& operator=(const ConfigStore&) = delete;
 
-  // An additional check before a change is accepted.
+  // Sets an additional check that a change must pass before it is accepted.
   void SetExtraCheck(ExtraCheck aCheck) { mExtraCheck = std::move(aCheck); }
-  // Calls back at each new version in force; the call comes before it is pushed to others.
+  // Adds a listener for each new version in force, called before the version is pushed to others.
   void OnInForce(Listener aListener) { mListeners.push_back(std::move(aListener)); }
 
   // The configuration in force; null before the first.
@@ -105,7 +106,8 @@
   {
     return mConfirmation.State(Clock::now(), mMembership.KnownCount(), mPromiseTable.HighestOpen());
   }
-  // Whether new work may be accepted. Must be asked at each decision, because time alone ends it.
+  // Whether new work may be accepted. Call it for each decision and do not cache the result: the
+  // confirmation expires without any event.
   bool MayAcceptWork()
   {
     const auto state = State();
@@ -113,7 +115,8 @@
            (state == ConfirmationState::Isolated && mSettings.mServeIsolated);
   }
 
-  // Checks a change and applies it. The same change again has the same outcome.
+  // Validates a change and applies it. Idempotent: a change that is applied already is reported as
+  // applied again.
   void Accept(const ChangeRequest& aRequest, OutcomeCallback aCallback)
   {
     auto read = config::ReadYaml(aRequest.mText, "");
@@ -121,7 +124,7 @@
     std::string text;
     if (read.mDocument) {
       text = config::CanonicalText(*read.mDocument);
-      Check(aRequest, *read.mDocument, text, problems);
+      Validate(aRequest, *read.mDocument, text, problems);
     }
     if (!read.mDocument || !problems.empty()) {
       Answer(std::move(aCallback), { ChangeOutcome::Kind::Invalid, {}, std::move(problems), {} });
@@ -134,15 +137,16 @@
     config.mDocument = std::move(*read.mDocument);
     if (mInForce && mInForce->mHead.mChange == aRequest.mChange &&
         mInForce->mHead.mHash == config.mHead.mHash) {
-      Spread(nullptr, [&loop = mLoop, callback = std::move(aCallback), head = mInForce->mHead] {
-        loop.Post([callback, head] { callback({ ChangeOutcome::Kind::Applied, head, {}, {} }); });
-      });
+      PushToMembers(
+        nullptr, [&loop = mLoop, callback = std::move(aCallback), head = mInForce->mHead] {
+          loop.Post([callback, head] { callback({ ChangeOutcome::Kind::Applied, head, {}, {} }); });
+        });
       return;
     }
     mWriter.Write(std::move(config), std::move(text), std::move(aCallback));
   }
 
-  // Finds the record of a change; nothing if it is not applied now.
+  // Reads the record of a change; passes nullopt if the change is not applied now.
   void FindChange(const ChangeId& aChange, FindCallback aCallback)
   {
     if (mInForce && mInForce->mHead.mChange == aChange) {
@@ -153,7 +157,7 @@
     mWriter.Find(aChange, std::move(aCallback));
   }
 
-  // All members, this node included, with their versions.
+  // Returns all members, this node included, with their versions.
   std::vector<NodeConfig> Nodes()
   {
     std::vector<NodeConfig> nodes;
@@ -172,7 +176,7 @@
     return nodes;
   }
 
-  // What this node says about its configuration in heartbeat answers.
+  // Returns the report that this node sends in heartbeat answers.
   MemberReport CurrentReport()
   {
     MemberReport report;
@@ -183,7 +187,7 @@
     return report;
   }
 
-  // Number of pushes sent so far.
+  // Gives access to the number of pushes sent so far.
   const ConfigPush<Transport>& Pushes() const { return mPush; }
 
 private:
@@ -192,19 +196,19 @@
 
   std::weak_ptr<ConfigStore*> Weak() const { return mAlive; }
 
-  void HandlePeers()
+  void RegisterPeerHandlers()
   {
     mTransport.Handle(mPush.kMethod,
                       [weak = Weak()](const Json& aBody, const peer::ReplyFunction& aReply) {
                         const auto self = weak.lock();
                         if (self) {
-                          (*self)->TakePush(aBody);
+                          (*self)->ApplyPush(aBody);
                         }
                         aReply({ { "version", self ? (*self)->Version().Value() : 0 } });
                       });
     mTransport.Handle(kPull, [weak = Weak()](const Json&, const peer::ReplyFunction& aReply) {
       const auto self = weak.lock();
-      aReply(self && (*self)->mInForce ? WriteWhole(*(*self)->mInForce) : Json::object());
+      aReply(self && (*self)->mInForce ? WriteFullBody(*(*self)->mInForce) : Json::object());
     });
   }
 
@@ -214,8 +218,8 @@
       [callback = std::move(aCallback), outcome = std::move(aOutcome)] { callback(outcome); });
   }
 
-  void Check(const ChangeRequest& aRequest, const config::Document& aDocument,
-             const std::string& aText, std::vector<config::Problem>& aProblems) const
+  void Validate(const ChangeRequest& aRequest, const config::Document& aDocument,
+                const std::string& aText, std::vector<config::Problem>& aProblems) const
   {
     const auto add = [&aProblems](const std::string& aMessage) {
       config::Problem problem;
@@ -235,7 +239,7 @@
     }
   }
 
-  // Takes over a higher version; false if it is not higher.
+  // Puts a configuration in force. Returns false if its version is not above the one in force.
   bool Install(AcceptedConfig aConfig, const char* aSource)
   {
     if (aConfig.mHead.mVersion <= Version()) {
@@ -259,18 +263,18 @@
   {
     const auto before = mInForce;
     const bool isNew = Install(std::move(aConfig), "accepted");
-    Spread(isNew ? before : nullptr, std::move(aDone));
+    PushToMembers(isNew ? before : nullptr, std::move(aDone));
   }
 
-  // Sends the configuration in force to the members that don't have it. An operator hears of a
-  // change only after that: otherwise it would be lost to all others for as long as the service is
-  // down, if this node failed right after its answer.
-  void Spread(const Pointer& aBase, std::function<void()> aDone)
+  // Pushes the configuration in force to the members that don't have it. A change is reported to
+  // its operator only when the push is done: if this node failed right after its answer while the
+  // service is down, the other members would lack the change until the service is back.
+  void PushToMembers(const Pointer& aBase, std::function<void()> aDone)
   {
     mPush.SendToAll(aBase, mInForce, mConfirmation, std::move(aDone));
   }
 
-  void TakePush(const Json& aMessage)
+  void ApplyPush(const Json& aMessage)
   {
     if (auto config = ReadPush(aMessage, mInForce.get())) {
       Install(std::move(*config), "peer");
@@ -284,17 +288,17 @@
       return;
     }
     mConfirmation.NoteReport(aMember.mNode, *report, aSent);
-    if (report->mVersion <= Version() || std::exchange(mPulling, true)) {
+    if (report->mVersion <= Version() || std::exchange(mPullPending, true)) {
       return;
     }
     mTransport.Call(aMember.mAddress, kPull, Json::object(), mSettings.mPushTimeout,
                     [weak = Weak()](std::error_code aError, const Json& aAnswer) {
                       const auto self = weak.lock();
                       if (self) {
-                        (*self)->mPulling = false;
+                        (*self)->mPullPending = false;
                       }
                       if (self && !aError) {
-                        (*self)->TakePush(aAnswer);
+                        (*self)->ApplyPush(aAnswer);
                       }
                     });
   }
@@ -318,10 +322,10 @@
     }
   }
 
-  // Reads the body from the service unless a peer delivers the version first.
+  // Waits for the push of a new version; if none arrives in time, reads the body from the service.
   void WaitForPush()
   {
-    if (std::exchange(mFetching, true)) {
+    if (std::exchange(mFetchPending, true)) {
       return;
     }
     mFetchTimer = mLoop.After(mRandom.Jitter(mSettings.mPushWait * 2), [this] { FetchHead(); });
@@ -329,16 +333,17 @@
 
   void FetchHead()
   {
-    mHead.Read([this](std::error_code aError, const HeadReading& aReading) {
+    mHeadWatcher.Read([this](std::error_code aError, const HeadReading& aReading) {
       if (aError || VersionOf(aReading.mHead) <= Version()) {
-        mFetching = false;
+        mFetchPending = false;
         return;
       }
       FetchBody(*aReading.mHead);
     });
   }
 
-  // If the body belongs to a later head by now, the next read of the head starts again.
+  // Reads the body for aHead. If it belongs to a later head by then, it is refused, and the next
+  // read of the head starts another fetch.
   void FetchBody(const ConfigHead& aHead)
   {
     mStore.Get(kBodyKey, [weak = Weak(), aHead](std::error_code aError,
@@ -347,7 +352,7 @@
       if (!self) {
         return;
       }
-      (*self)->mFetching = false;
+      (*self)->mFetchPending = false;
       if (!aError && aEntry) {
         if (auto config = ReadBody(aHead, ParseJson(aEntry->mValue).value_or(Json()))) {
           (*self)->Install(std::move(*config), "service");
@@ -356,17 +361,18 @@
     });
   }
 
-  // The service showed a lower version than the one in force. It may have been restored from a
-  // backup, or the read alone was stale, so the head is read again before it is written.
+  // Schedules a write-back after the service showed a lower version than the one in force. Either
+  // it was restored from a backup or that read was stale, so the head is read again before it is
+  // written.
   void WriteBackLater()
   {
-    if (std::exchange(mWritingBack, true)) {
+    if (std::exchange(mWriteBackPending, true)) {
       return;
     }
     mWriteBackTimer = mLoop.After(mRandom.Jitter(mSettings.mRetryDelay), [this] {
-      mHead.Read([this](std::error_code aError, const HeadReading& aReading) {
+      mHeadWatcher.Read([this](std::error_code aError, const HeadReading& aReading) {
         if (aError || VersionOf(aReading.mHead) >= Version()) {
-          mWritingBack = false;
+          mWriteBackPending = false;
           return;
         }
         WriteBack(aReading);
@@ -386,10 +392,10 @@
                       { Kind::Set, kBodyKey, DumpJson(mInForce->mBody), 0 },
                       { Kind::Set, ChangeKey(head.mChange), DumpJson(record), 0 } },
                     [weak = Weak()](std::error_code, const kv::TransactionResult&) {
-                      // Whatever the result is, the next read of the head tells whether this has to
-                      // go on.
+                      // The result does not matter: the next read of the head shows whether another
+                      // write-back is needed.
                       if (const auto self = weak.lock()) {
-                        (*self)->mWritingBack = false;
+                        (*self)->mWriteBackPending = false;
                       }
                     });
   }
@@ -405,13 +411,13 @@
   PromiseTable mPromiseTable;
   ConfigPush<Transport> mPush;
   PromiseRound<Transport> mPromises;
-  HeadWatcher<Store> mHead;
+  HeadWatcher<Store> mHeadWatcher;
   ChangeWriter<Store, Transport> mWriter;
   ExtraCheck mExtraCheck;
   std::vector<Listener> mListeners;
-  bool mPulling = false;
-  bool mFetching = false;
-  bool mWritingBack = false;
+  bool mPullPending = false;
+  bool mFetchPending = false;
+  bool mWriteBackPending = false;
   Timer mFetchTimer;
   Timer mWriteBackTimer;
   std::shared_ptr<ConfigStore*> mAlive = std::make_shared<ConfigStore*>(this);
--- a/src/configstore/Confirmation.cpp
+++ b/src/configstore/Confirmation.cpp
@@ -7,7 +7,7 @@
 namespace detail {
 namespace {
 
-// Rounded up, so that an age is never told too low.
+// Rounds up, so that an age is never reported too low.
 std::optional<Duration>
 AgeOf(const std::optional<TimePoint>& aAt, TimePoint aNow)
 {
@@ -76,7 +76,7 @@
     return;
   }
   received = { aReport, aSent };
-  mHighestHeard = std::max(mHighestHeard, aReport.mVersion);
+  mHighestKnownVersion = std::max(mHighestKnownVersion, aReport.mVersion);
   if (const auto at = detail::TimeOf(aReport.mDirectAge, aSent)) {
     NoteRead(aReport.mDirectVersion, *at);
   }
@@ -94,8 +94,8 @@
   if (IsRecent(ConfirmedAt(), aNow)) {
     return ConfirmationState::Confirmed;
   }
-  return MayGoOn(aNow, aKnown, aOpenPromise) ? ConfirmationState::ServiceDown
-                                             : ConfirmationState::Isolated;
+  return MayServeDuringOutage(aNow, aKnown, aOpenPromise) ? ConfirmationState::ServiceDown
+                                                          : ConfirmationState::Isolated;
 }
 
 void
@@ -125,7 +125,7 @@
 void
 Confirmation::NoteRead(ConfigVersion aVersion, TimePoint aAt)
 {
-  mHighestHeard = std::max(mHighestHeard, aVersion);
+  mHighestKnownVersion = std::max(mHighestKnownVersion, aVersion);
   const auto version = std::max(aVersion, mInForce);
   const auto it = mReads.try_emplace(version, aAt).first;
   it->second = std::max(it->second, aAt);
@@ -153,22 +153,24 @@
 bool
 Confirmation::IsRecent(const std::optional<TimePoint>& aAt, TimePoint aNow) const
 {
-  return aAt && aNow - *aAt < mSettings.mConfirmedFor;
+  return aAt && aNow - *aAt < mSettings.mReadValidity;
 }
 
 bool
-Confirmation::MayGoOn(TimePoint aNow, std::size_t aKnown, ConfigVersion aOpenPromise) const
+Confirmation::MayServeDuringOutage(TimePoint aNow, std::size_t aKnown,
+                                   ConfigVersion aOpenPromise) const
 {
-  if (!IsSettled() || aOpenPromise > mInForce || mHighestHeard > mInForce) {
+  if (!IsSettled() || aOpenPromise > mInForce || mHighestKnownVersion > mInForce) {
     return false;
   }
   std::size_t counted = 1;
   for (const auto& [node, received] : mReports) {
-    if (aNow - received.mSent >= mSettings.mHeardFor) {
+    if (aNow - received.mSent >= mSettings.mReportValidity) {
       continue;
     }
     const auto& report = received.mReport;
-    // The members that promised a change may be heard only by this one of the majority.
+    // The node that accepted a change, or the members that promised it, may be reachable only from
+    // this member, so one open promise or one confirmed member is enough to stop.
     if (report.mOpenPromise > mInForce || IsMemberConfirmed(node, aNow)) {
       return false;
     }
--- a/src/configstore/Confirmation.h
+++ b/src/configstore/Confirmation.h
@@ -15,79 +15,83 @@
 {
   // No configuration yet.
   None,
-  // A direct read of the head, by this node or told by its reader, is recent enough.
+  // The newest direct read of the head, by this node or in a report of the member that read it, is
+  // recent enough and shows no version above the one in force.
   Confirmed,
-  // The service is down for a majority of the members, and no change can have been accepted without
-  // one of them knowing.
+  // The key-value service is down for a majority of the members, and no change can have been
+  // accepted without one of them knowing. The node may go on accepting work.
   ServiceDown,
-  // A change may have been accepted that this node does not know.
+  // A change may have been accepted that this node does not know of.
   Isolated
 };
 
 const char*
 ToString(ConfirmationState aState);
 
-// Time limits of the confirmation.
+// Time limits of Confirmation.
 struct ConfirmationSettings
 {
-  // A read of the head confirms for this time.
-  Duration mConfirmedFor{ 8000 };
-  // A member is heard while its last answer was to a heartbeat sent within this time.
-  Duration mHeardFor{ 3000 };
-  // See PromiseTable; promises from before a restart are settled after this time, too.
+  // How long a read of the head keeps the node confirmed.
+  Duration mReadValidity{ 8000 };
+  // A member's report counts while the heartbeat that it answered was sent within this time.
+  Duration mReportValidity{ 3000 };
+  // The settle time of PromiseTable. Promises that a node gave before a restart, and no longer
+  // knows of, are settled after it, too.
   Duration mSettleTime{ 10000 };
 };
 
-// Decides whether this node is confirmed. Ages are computed at each use from the given monotonic
-// time, so that a paused node does not count as confirmed when it wakes.
+// Determines whether the configuration in force on this node is confirmed as current. Ages are
+// computed at each use from the given monotonic time, so that a process that was paused does not
+// count as confirmed when it resumes.
 class Confirmation
 {
 public:
   Confirmation(const ConfirmationSettings& aSettings, TimePoint aStart);
 
-  // The version in force; never goes down.
+  // Sets the version in force; lower versions are ignored.
   void SetInForce(ConfigVersion aVersion);
-  // This node read the head by a read that began at aSent.
+  // Records that this node read the head; the read began at aSent.
   void NoteDirectRead(ConfigVersion aVersion, TimePoint aSent);
-  // A member answered a heartbeat that was sent at aSent.
+  // Records the report in the answer to a heartbeat that was sent at aSent.
   void NoteReport(const NodeId& aMember, const MemberReport& aReport, TimePoint aSent);
 
-  // aKnown: number of known members with this node. aOpenPromise: this node's own.
+  // aKnown is the number of known members, this node included; aOpenPromise is the highest version
+  // that this node promised and whose outcome it does not know.
   ConfirmationState State(TimePoint aNow, std::size_t aKnown, ConfigVersion aOpenPromise) const;
-  // Whether a read that began the settle time after the start, or later, has confirmed this node.
+  // Whether this node was confirmed by a read that began at least the settle time after its start.
   bool IsSettled() const;
   // Fills in this node's ages and mSettled.
   void FillReport(MemberReport& aReport, TimePoint aNow) const;
-  // The last report of a member; null if there is none within an hour.
+  // Returns the last report of a member; null if there is none. Reports are dropped after an hour.
   const MemberReport* ReportOf(const NodeId& aMember) const;
   // Whether a member was confirmed by its last report.
   bool IsMemberConfirmed(const NodeId& aMember, TimePoint aNow) const;
-  // The highest version that this node read or that a member had in force or read.
-  ConfigVersion HighestHeard() const { return mHighestHeard; }
+  // Returns the highest version that this node read or that a member reported.
+  ConfigVersion HighestKnownVersion() const { return mHighestKnownVersion; }
 
 private:
-  struct Received
+  struct ReceivedReport
   {
     MemberReport mReport;
     TimePoint mSent;
   };
 
   void NoteRead(ConfigVersion aVersion, TimePoint aAt);
-  // When the head was last read with a version that is not above the one in force.
+  // Returns the start of the newest read that showed no version above the one in force.
   std::optional<TimePoint> ConfirmedAt() const;
   bool IsRecent(const std::optional<TimePoint>& aAt, TimePoint aNow) const;
-  bool MayGoOn(TimePoint aNow, std::size_t aKnown, ConfigVersion aOpenPromise) const;
+  bool MayServeDuringOutage(TimePoint aNow, std::size_t aKnown, ConfigVersion aOpenPromise) const;
 
   ConfirmationSettings mSettings;
   TimePoint mStart;
   ConfigVersion mInForce;
-  ConfigVersion mHighestHeard;
+  ConfigVersion mHighestKnownVersion;
   std::optional<TimePoint> mDirectAt;
   ConfigVersion mDirectVersion;
   // The newest read that showed each version. Versions below the one in force are merged into it,
   // because all of them show that no higher version was accepted before.
   std::map<ConfigVersion, TimePoint> mReads;
-  std::map<NodeId, Received> mReports;
+  std::map<NodeId, ReceivedReport> mReports;
 };
 
 } // namespace lovagerock::configstore
--- a/src/configstore/HeadWatcher.h
+++ b/src/configstore/HeadWatcher.h
@@ -17,7 +17,7 @@
 
 namespace lovagerock::configstore {
 
-// The head as one read of the service showed it.
+// The result of one read of the head from the key-value service.
 struct HeadReading
 {
   std::optional<ConfigHead> mHead;
@@ -26,7 +26,8 @@
   TimePoint mSent;
 };
 
-// Watches the head and reads it directly each period. Belongs to the store's loop.
+// Watches the head and also reads it directly at a fixed period. Must be used on the store's event
+// loop only.
 template<kv::KeyValueStore Store>
 class HeadWatcher
 {
@@ -43,14 +44,14 @@
     , mSettings(aSettings)
     , mOnReading(std::move(aOnReading))
   {
-    mReadTimer = mLoop.Every(mSettings.mReadPeriod, [this] { ReadAgain(); });
+    mReadTimer = mLoop.Every(mSettings.mReadPeriod, [this] { PollHead(); });
     mLoop.Post(Guarded([this] { Watch(); }));
-    mLoop.Post(Guarded([this] { ReadAgain(); }));
+    mLoop.Post(Guarded([this] { PollHead(); }));
   }
   HeadWatcher(const HeadWatcher&) = delete;
   HeadWatcher& operator=(const HeadWatcher&) = delete;
 
-  // Reads the head now. The reading goes to the watcher's callback first.
+  // Reads the head now. A successful reading is passed to the watcher's ReadingCallback first.
   void Read(ReadCallback aCallback)
   {
     const auto sent = std::chrono::steady_clock::now();
@@ -58,7 +59,7 @@
                            std::error_code aError, const std::optional<kv::Entry>& aEntry) {
       if (const auto self = weak.lock()) {
         HeadReading reading;
-        aError = (*self)->Take(aError, aEntry, sent, reading);
+        aError = (*self)->HandleAnswer(aError, aEntry, sent, reading);
         callback(aError, reading);
       }
     });
@@ -75,10 +76,10 @@
     };
   }
 
-  void ReadAgain()
+  void PollHead()
   {
-    if (!std::exchange(mReading, true)) {
-      Read([this](std::error_code, const HeadReading&) { mReading = false; });
+    if (!std::exchange(mPollPending, true)) {
+      Read([this](std::error_code, const HeadReading&) { mPollPending = false; });
     }
   }
 
@@ -97,7 +98,7 @@
   void OnWatch(std::error_code aError, const std::optional<kv::Entry>& aEntry, TimePoint aSent)
   {
     HeadReading reading;
-    aError = Take(aError, aEntry, aSent, reading);
+    aError = HandleAnswer(aError, aEntry, aSent, reading);
     if (aError) {
       mRetryTimer = mLoop.After(mRandom.Jitter(mSettings.mRetryDelay), [this] { Watch(); });
       return;
@@ -106,9 +107,10 @@
     Watch();
   }
 
-  // Reads an answer and reports it; a head that can't be read is an error.
-  std::error_code Take(std::error_code aError, const std::optional<kv::Entry>& aEntry,
-                       TimePoint aSent, HeadReading& aReading)
+  // Parses an answer and passes it to the ReadingCallback. Returns BadAnswer if the head is
+  // malformed.
+  std::error_code HandleAnswer(std::error_code aError, const std::optional<kv::Entry>& aEntry,
+                               TimePoint aSent, HeadReading& aReading)
   {
     if (aError) {
       return aError;
@@ -132,7 +134,7 @@
   ConfigStoreSettings mSettings;
   ReadingCallback mOnReading;
   kv::ModifyIndex mIndex = 0;
-  bool mReading = false;
+  bool mPollPending = false;
   Timer mReadTimer;
   Timer mRetryTimer;
   std::shared_ptr<HeadWatcher*> mAlive = std::make_shared<HeadWatcher*>(this);
--- a/src/configstore/PromiseRound.h
+++ b/src/configstore/PromiseRound.h
@@ -18,29 +18,31 @@
 
 namespace lovagerock::configstore {
 
-// Asks the members for their promises before a change is written, and answers such calls of others.
-// Belongs to the transport's loop.
+// Collects promises for a version from the members before a change is written (the prepare phase),
+// and answers the prepare and abandon calls of other nodes. A member promises only a version above
+// the one that it has in force. Must be used on the transport's event loop only.
 template<peer::PeerTransport Transport>
 class PromiseRound
 {
 public:
-  // Called once with true when more than half of the known members promised.
+  // Called once: with true when more than half of the known members promised, this node included;
+  // with false on a refusal or when no answer is outstanding.
   using Callback = std::function<void(bool)>;
-  // Gives the version in force.
+  // Returns the version in force.
   using VersionGetter = std::function<ConfigVersion()>;
 
   PromiseRound(Transport& aTransport, membership::Membership<Transport>& aMembership,
-               PromiseTable& aTable, Duration aTimeout, VersionGetter aInForce)
+               PromiseTable& aTable, Duration aTimeout, VersionGetter aGetVersionInForce)
     : mTransport(aTransport)
     , mMembership(aMembership)
     , mTable(aTable)
     , mTimeout(aTimeout)
-    , mInForce(std::move(aInForce))
+    , mGetVersionInForce(std::move(aGetVersionInForce))
   {
     mTransport.Handle(kPrepare, [weak = std::weak_ptr(mAlive)](const Json& aBody,
                                                                const peer::ReplyFunction& aReply) {
       const auto self = weak.lock();
-      aReply({ { "promised", self && (*self)->Promise(aBody) } });
+      aReply({ { "promised", self && (*self)->GivePromise(aBody) } });
     });
     mTransport.Handle(kAbandon, [weak = std::weak_ptr(mAlive)](const Json& aBody,
                                                                const peer::ReplyFunction& aReply) {
@@ -51,34 +53,35 @@
     });
   }
 
-  // Asks all members for the version. The attempt must be unique. A single refusal ends the round,
-  // because it shows that the version is taken.
+  // Asks all members to promise aVersion. aAttempt must be unique among all attempts. A single
+  // refusal ends the round, because it shows that the version is already taken.
   void Run(const std::string& aAttempt, ConfigVersion aVersion, Callback aCallback)
   {
     const auto round = std::make_shared<Round>();
     round->mCallback = std::move(aCallback);
     round->mNeeded = mMembership.KnownCount() / 2 + 1;
     const Json body{ { "attempt", aAttempt }, { "version", aVersion.Value() } };
-    if (!Promise(body)) {
+    if (!GivePromise(body)) {
       Finish(round, false);
       return;
     }
     round->mPromised = 1;
     const auto members = mMembership.Members();
-    round->mOpen = members.size() - 1;
+    round->mOutstanding = members.size() - 1;
     for (const auto& it : members) {
       if (it.mMember.mNode == mMembership.Self().mNode) {
         continue;
       }
-      mTransport.Call(
-        it.mMember.mAddress, kPrepare, body, mTimeout,
-        [round](std::error_code aError, const Json& aAnswer) { Count(round, aError, aAnswer); });
+      mTransport.Call(it.mMember.mAddress, kPrepare, body, mTimeout,
+                      [round](std::error_code aError, const Json& aAnswer) {
+                        CountAnswer(round, aError, aAnswer);
+                      });
     }
-    Check(round);
+    FinishIfDecided(round);
   }
 
-  // Tells the members that the attempt has no effect. It must not be called while its write may
-  // still take effect.
+  // Releases the promises of an attempt on all members. Must not be called while the write of the
+  // attempt may still take effect.
   void Abandon(const std::string& aAttempt)
   {
     mTable.Abandon(aAttempt);
@@ -99,14 +102,14 @@
     Callback mCallback;
     std::size_t mNeeded = 0;
     std::size_t mPromised = 0;
-    std::size_t mOpen = 0;
+    std::size_t mOutstanding = 0;
   };
 
-  bool Promise(const Json& aBody)
+  bool GivePromise(const Json& aBody)
   {
     const auto attempt = JsonValue<std::string>(aBody, "attempt", "");
     const ConfigVersion version(JsonValue<std::int64_t>(aBody, "version", 0));
-    if (attempt.empty() || version <= mInForce()) {
+    if (attempt.empty() || version <= mGetVersionInForce()) {
       return false;
     }
     mTable.Add(attempt, version, std::chrono::steady_clock::now());
@@ -114,22 +117,22 @@
   }
 
   static void
-  Count(const std::shared_ptr<Round>& aRound, std::error_code aError, const Json& aAnswer)
+  CountAnswer(const std::shared_ptr<Round>& aRound, std::error_code aError, const Json& aAnswer)
   {
-    --aRound->mOpen;
+    --aRound->mOutstanding;
     if (!aError && !JsonValue(aAnswer, "promised", false)) {
       Finish(aRound, false);
       return;
     }
     aRound->mPromised += aError ? 0 : 1;
-    Check(aRound);
+    FinishIfDecided(aRound);
   }
 
-  static void Check(const std::shared_ptr<Round>& aRound)
+  static void FinishIfDecided(const std::shared_ptr<Round>& aRound)
   {
     if (aRound->mPromised >= aRound->mNeeded) {
       Finish(aRound, true);
-    } else if (aRound->mOpen == 0) {
+    } else if (aRound->mOutstanding == 0) {
       Finish(aRound, false);
     }
   }
@@ -145,7 +148,7 @@
   membership::Membership<Transport>& mMembership;
   PromiseTable& mTable;
   Duration mTimeout;
-  VersionGetter mInForce;
+  VersionGetter mGetVersionInForce;
   std::shared_ptr<PromiseRound*> mAlive = std::make_shared<PromiseRound*>(this);
 };
 
--- a/src/configstore/PromiseTable.h
+++ b/src/configstore/PromiseTable.h
@@ -7,27 +7,30 @@
 
 namespace lovagerock::configstore {
 
-// The promises that this node gave to accepting nodes and whose outcome it does not know. While one
-// is open, the node must not go on without the service. All times are given by the caller.
+// The open promises of this node: those that it gave to nodes that accept a change and whose
+// outcome it does not know. While one is open, the node must not accept work without the key-value
+// service. All times are given by the caller.
 class PromiseTable
 {
 public:
-  // aSettleTime: an accepting node writes well within this time after the promise, so that a later
-  // read of the head shows whether it did.
+  // aSettleTime is the time after which a promise is settled: the accepting node writes well within
+  // this time after the promise, so that a later read of the head shows whether it did.
   explicit PromiseTable(Duration aSettleTime)
     : mSettleTime(aSettleTime)
   {
   }
 
-  // Notes a promise for a version; the attempt is unique among all attempts of all changes.
+  // Adds a promise for a version; aAttempt must be unique among all attempts of all changes.
   void Add(const std::string& aAttempt, ConfigVersion aVersion, TimePoint aNow);
-  // The attempt was abandoned before the write or its write had no effect.
+  // Removes the promise of an attempt that was abandoned before its write or whose write had no
+  // effect.
   void Abandon(const std::string& aAttempt);
-  // This version is in force on this node.
+  // Sets the version in force and removes the promises up to it.
   void SetInForce(ConfigVersion aVersion);
-  // The head was read directly by a read that began at aSent.
+  // Removes the promises above aVersion that were given at least the settle time before aSent.
+  // aVersion is the version that a direct read of the head showed; the read began at aSent.
   void NoteDirectRead(ConfigVersion aVersion, TimePoint aSent);
-  // The highest open version; 0 for none.
+  // Returns the highest version with an open promise; 0 for none.
   ConfigVersion HighestOpen() const;
 
 private:
--- a/src/configstore/PushMessage.cpp
+++ b/src/configstore/PushMessage.cpp
@@ -11,7 +11,7 @@
 }
 
 Json
-WriteWhole(const AcceptedConfig& aConfig)
+WriteFullBody(const AcceptedConfig& aConfig)
 {
   return { { "head", WriteHead(aConfig.mHead) }, { "body", aConfig.mBody } };
 }
--- a/src/configstore/PushMessage.h
+++ b/src/configstore/PushMessage.h
@@ -7,16 +7,17 @@
 
 namespace lovagerock::configstore {
 
-// A push with the JSON patch from one configuration to the next.
+// Returns a push message with the JSON patch from one configuration to the next.
 Json
 WritePatch(const AcceptedConfig& aBase, const AcceptedConfig& aNext);
 
-// A push with the whole body.
+// Returns a push message with the full body.
 Json
-WriteWhole(const AcceptedConfig& aConfig);
+WriteFullBody(const AcceptedConfig& aConfig);
 
-// The configuration of a push. Nothing if the push is malformed, its patch has another base than
-// the given configuration (null for none), or the result does not have the hash of the head.
+// Returns the configuration of a push message. Returns nullopt if the message is malformed, if its
+// patch is for another base than aCurrent (null for none), or if the hash of the result differs
+// from the hash in the head.
 std::optional<AcceptedConfig>
 ReadPush(const Json& aMessage, const AcceptedConfig* aCurrent);
 
--- a/tests/configstore/ClusterFixture.h
+++ b/tests/configstore/ClusterFixture.h
@@ -23,7 +23,8 @@
 
 namespace lovagerock::configstore {
 
-// One node's connection to the shared service, which can be cut by itself.
+// One node's connection to the shared key-value service. It can be cut without affecting other
+// nodes.
 class StoreLink
 {
 public:
@@ -35,26 +36,26 @@
 
   void Get(const std::string& aKey, kv::GetCallback aCallback)
   {
-    if (mStale && aKey == kHeadKey) {
-      mLoop.Post([stale = mStale, callback = std::move(aCallback)] { callback({}, stale); });
-      mStale.reset();
+    if (mStaleHead && aKey == kHeadKey) {
+      mLoop.Post([stale = mStaleHead, callback = std::move(aCallback)] { callback({}, stale); });
+      mStaleHead.reset();
       return;
     }
     ++mReads[aKey];
-    mStore.Get(aKey, Cut(std::move(aCallback)));
+    mStore.Get(aKey, FailIfDown(std::move(aCallback)));
   }
   void List(const std::string& aPrefix, kv::ListCallback aCallback)
   {
-    mStore.List(aPrefix, Cut(std::move(aCallback)));
+    mStore.List(aPrefix, FailIfDown(std::move(aCallback)));
   }
   void ListPage(const std::string& aPrefix, Bytes aLimit, kv::ListCallback aCallback)
   {
-    mStore.ListPage(aPrefix, aLimit, Cut(std::move(aCallback)));
+    mStore.ListPage(aPrefix, aLimit, FailIfDown(std::move(aCallback)));
   }
   void ListNames(const std::string& aPrefix, const std::string& aSeparator, Bytes aLimit,
                  kv::NamesCallback aCallback)
   {
-    mStore.ListNames(aPrefix, aSeparator, aLimit, Cut(std::move(aCallback)));
+    mStore.ListNames(aPrefix, aSeparator, aLimit, FailIfDown(std::move(aCallback)));
   }
   void Transact(std::vector<kv::Operation> aOperations, kv::TransactCallback aCallback)
   {
@@ -71,12 +72,12 @@
   void
   Watch(const std::string& aKey, kv::ModifyIndex aSince, Duration aWait, kv::GetCallback aCallback)
   {
-    mStore.Watch(aKey, aSince, aWait, Cut(std::move(aCallback)));
+    mStore.Watch(aKey, aSince, aWait, FailIfDown(std::move(aCallback)));
   }
 
   bool mUp = true;
-  // The answer of the next read of the head.
-  std::optional<kv::Entry> mStale;
+  // If set, the answer of the next read of the head.
+  std::optional<kv::Entry> mStaleHead;
   std::function<void()> mBeforeTransact;
   int mWrites = 0;
   std::map<std::string, int> mReads;
@@ -84,7 +85,7 @@
 private:
   template<typename Result>
   std::function<void(std::error_code, Result)>
-  Cut(std::function<void(std::error_code, Result)> aCallback)
+  FailIfDown(std::function<void(std::error_code, Result)> aCallback)
   {
     return [this, callback = std::move(aCallback)](std::error_code aError, Result aResult) {
       callback(mUp ? aError : make_error_code(kv::KvError::Unavailable), mUp ? aResult : Result());
@@ -95,14 +96,14 @@
   kv::MemoryStore& mStore;
 };
 
-// A transport in memory. Links between two nodes can be cut.
+// An in-memory transport. The link between any two nodes can be cut.
 class FakeTransport
 {
 public:
   struct Network
   {
     std::map<SocketAddress, FakeTransport*> mNodes;
-    std::set<std::pair<SocketAddress, SocketAddress>> mCut;
+    std::set<std::pair<SocketAddress, SocketAddress>> mCutLinks;
   };
 
   FakeTransport(EventLoop& aLoop, Network& aNetwork, SocketAddress aAddress)
@@ -123,7 +124,7 @@
   void Call(const SocketAddress& aPeer, const std::string& aMethod, const Json& aBody, Duration,
             peer::CallCallback aCallback)
   {
-    if (mNetwork.mCut.contains(std::minmax(mAddress, aPeer))) {
+    if (mNetwork.mCutLinks.contains(std::minmax(mAddress, aPeer))) {
       mLoop.Post([callback = std::move(aCallback)] { callback(peer::PeerError::NotSent, {}); });
       return;
     }
@@ -149,7 +150,7 @@
 static_assert(kv::KeyValueStore<StoreLink>);
 static_assert(peer::PeerTransport<FakeTransport>);
 
-// Shorter than the defaults, so that the tests don't wait for seconds.
+// Times shorter than the defaults, so that the tests don't wait for seconds.
 inline ConfigStoreSettings
 ShortTimes()
 {
@@ -159,7 +160,7 @@
   settings.mReadPeriod = Duration(60);
   settings.mRetryDelay = Duration(60);
   settings.mPushWait = Duration(40);
-  settings.mSettleDelay = Duration(20);
+  settings.mOutcomeReadDelay = Duration(20);
   return settings;
 }
 
@@ -221,9 +222,9 @@
     }
   }
 
-  void Cut(int aFirst, int aSecond)
+  void CutLink(int aFirst, int aSecond)
   {
-    mNetwork.mCut.insert(std::minmax(AddressOf(aFirst), AddressOf(aSecond)));
+    mNetwork.mCutLinks.insert(std::minmax(AddressOf(aFirst), AddressOf(aSecond)));
   }
 
   void WaitUntil(const std::function<bool()>& aCondition)
@@ -250,8 +251,8 @@
     WaitUntil([&] { return mNodes[aNode]->mConfig.State() == aState; });
   }
 
-  // Waits until every node may use the rule for outages.
-  void WaitUntilConfirmedOnce()
+  // Waits until every node is settled, which the ServiceDown state requires.
+  void WaitUntilAllSettled()
   {
     WaitUntil([&] {
       return std::all_of(mNodes.begin(), mNodes.end(), [&](const auto& aNode) {
@@ -260,7 +261,7 @@
     });
   }
 
-  // The outcome of a change that sets the weight of an account.
+  // Applies a change that sets the weight of an account and returns its outcome.
   ChangeOutcome Apply(int aNode, int aBase, const std::string& aChange, int aWeight = 3)
   {
     std::optional<ChangeOutcome> outcome;
--- a/tests/configstore/ConfigStoreTests.cpp
+++ b/tests/configstore/ConfigStoreTests.cpp
@@ -4,7 +4,8 @@
 using namespace lovagerock::configstore;
 using Kind = ChangeOutcome::Kind;
 
-// Guards against nodes that depend on their watch: here the service dies with the write.
+// Guards against nodes that learn of a change only by their watch: the service fails right after
+// the write, so that only pushes can deliver it.
 Test(ConfigStore, is_in_force_everywhere_when_the_service_fails_after_the_write)
 {
   Cluster c(4);
@@ -13,16 +14,16 @@
   c.mNodes[3]->mConfig.OnInForce([&](const TestStore::Pointer& aConfig) {
     calls += aConfig->mDocument.mAccounts.size() == 2 ? 1 : 0;
   });
-  // Posted before the answer of the write, which has taken effect by then.
+  // Runs before the answer of the write is delivered; the write has taken effect by then.
   c.mNodes[0]->mLink.mBeforeTransact = [&] { c.mLoop.Post([&] { c.mStore.SetAvailable(false); }); };
   cr_assert(c.Apply(0, 1, "second", 4).mKind == Kind::Applied);
   c.WaitUntilAllHave(2);
   cr_assert_eq(calls, 1);
 }
 
-// Guards against an accepted change that only the accepting node has when its operator hears of it:
-// it would be lost to the others if that node and the service failed then.
-Test(ConfigStore, tells_of_a_change_after_a_majority_has_it)
+// Guards against reporting a change as applied while only the accepting node has it: the others
+// would lose it if that node and the service failed then.
+Test(ConfigStore, reports_a_change_after_a_majority_has_it)
 {
   Cluster c(3);
   c.ApplyFirst();
@@ -39,21 +40,22 @@
   cr_assert(*have >= 2);
 }
 
-// Guards against an operator who waits for ever when nobody takes a change that was written.
-Test(ConfigStore, tells_of_a_written_change_when_no_member_answers)
+// Guards against an operator who waits forever because no member answers the push of a written
+// change.
+Test(ConfigStore, reports_a_written_change_when_no_member_answers)
 {
   Cluster c(3);
   c.ApplyFirst();
   c.mNodes[0]->mLink.mBeforeTransact = [&] {
-    c.Cut(0, 1);
-    c.Cut(0, 2);
+    c.CutLink(0, 1);
+    c.CutLink(0, 2);
   };
   cr_assert(c.Apply(0, 1, "second", 4).mKind == Kind::Applied);
   c.WaitUntilAllHave(2);
 }
 
-// Guards against a silent overwrite of another operator's change.
-Test(ConfigStore, tells_the_later_operator_who_won)
+// Guards against silently overwriting another operator's change.
+Test(ConfigStore, reports_the_winning_head_on_a_conflict)
 {
   Cluster c(3);
   c.ApplyFirst();
@@ -73,7 +75,7 @@
   cr_assert(again.mHead == winner.mHead);
 }
 
-// Guards against a second application of a change that is sent again.
+// Guards against applying a change twice when it is sent again.
 Test(ConfigStore, gives_the_same_outcome_for_the_same_change)
 {
   Cluster c(3);
@@ -104,9 +106,9 @@
   cr_assert_eq(c.mNodes[0]->mLink.mWrites, 0);
 }
 
-// Guards against "unknown" where a read can tell, and against "applied" or "not applied" where it
-// can't.
-Test(ConfigStore, settles_a_write_whose_answer_is_lost)
+// Guards against reporting OutcomeUnknown when a read shows the outcome, and against reporting a
+// definite outcome when no read does.
+Test(ConfigStore, reads_the_outcome_of_a_write_whose_answer_is_lost)
 {
   Cluster c(3);
   c.ApplyFirst();
@@ -131,7 +133,7 @@
   cr_assert(record->mVersion == ConfigVersion(3));
 }
 
-// Guards against a write, or a step back, that a stale read alone causes.
+// Guards against a write-back, or a return to an older version, after a single stale read.
 Test(ConfigStore, does_nothing_after_a_single_stale_read)
 {
   Cluster c(2);
@@ -140,15 +142,15 @@
   cr_assert(c.Apply(0, 1, "second", 4).mKind == Kind::Applied);
   c.WaitUntilAllHave(2);
   auto& node = *c.mNodes[1];
-  node.mLink.mStale = kv::Entry{ kHeadKey, DumpJson(WriteHead(head)), 1 };
-  c.WaitUntil([&] { return !node.mLink.mStale; });
+  node.mLink.mStaleHead = kv::Entry{ kHeadKey, DumpJson(WriteHead(head)), 1 };
+  c.WaitUntil([&] { return !node.mLink.mStaleHead; });
   const auto reads = node.mLink.mReads[kHeadKey];
   c.WaitUntil([&] { return node.mLink.mReads[kHeadKey] > reads + 5; });
   cr_assert_eq(node.mLink.mWrites, 0);
   cr_assert(node.mConfig.Version() == ConfigVersion(2));
 }
 
-// Guards against a restored backup that takes an accepted change back.
+// Guards against losing an accepted change when the service is restored from a backup.
 Test(ConfigStore, writes_back_what_a_restored_service_lost)
 {
   Cluster c(2);
@@ -170,18 +172,19 @@
   c.WaitUntilAllHave(3);
 }
 
-// Guards against a node that needs the push: here every push is lost.
+// Guards against a node that learns of a change only by the push: every push to node 2 is lost.
 Test(ConfigStore, reads_the_service_when_no_peer_delivers)
 {
   Cluster c(3);
   c.ApplyFirst();
-  c.mNodes[0]->mLink.mBeforeTransact = [&] { c.Cut(0, 2), c.Cut(1, 2); };
+  c.mNodes[0]->mLink.mBeforeTransact = [&] { c.CutLink(0, 2), c.CutLink(1, 2); };
   cr_assert(c.Apply(0, 1, "second", 4).mKind == Kind::Applied);
   c.WaitUntilAllHave(2);
   cr_assert_geq(c.mNodes[2]->mLink.mReads[kBodyKey], 1);
 }
 
-// Guards against new nodes that can't work during an outage, and that work with nothing.
+// Guards against a new node that gets no configuration during an outage, and against one that
+// accepts work without a configuration.
 Test(ConfigStore, starts_from_a_peer_while_the_service_is_down)
 {
   Cluster c(2);
@@ -193,30 +196,30 @@
   c.WaitUntilAllHave(1);
 }
 
-// Guards against a cut-off node that serves an outdated configuration.
+// Guards against a node that is cut off and accepts work with an outdated configuration.
 Test(ConfigStore, an_isolated_node_refuses_work)
 {
   Cluster c(3);
   c.ApplyFirst();
   c.WaitUntilState(2, ConfirmationState::Confirmed);
   c.mNodes[2]->mLink.mUp = false;
-  c.Cut(0, 2);
-  c.Cut(1, 2);
+  c.CutLink(0, 2);
+  c.CutLink(1, 2);
   c.WaitUntilState(2, ConfirmationState::Isolated);
   cr_assert_not(c.mNodes[2]->mConfig.MayAcceptWork());
   cr_assert(c.mNodes[0]->mConfig.MayAcceptWork());
-  c.mNetwork.mCut.clear();
+  c.mNetwork.mCutLinks.clear();
   c.WaitUntilState(2, ConfirmationState::Confirmed);
   c.WaitUntil([&] { return c.mNodes[0]->mConfig.Nodes().back().mConfirmed; });
 }
 
-// Guards against an outage of the service that stops all nodes, and against a refused change that
-// keeps them from going on because the members were not told of its end.
-Test(ConfigStore, all_nodes_go_on_when_the_service_is_down_for_all)
+// Guards against an outage of the service that stops all nodes, and against a failed change whose
+// promises are not released on the members, which would leave them isolated.
+Test(ConfigStore, all_nodes_accept_work_when_the_service_is_down_for_all)
 {
   Cluster c(3);
   c.ApplyFirst();
-  c.WaitUntilConfirmedOnce();
+  c.WaitUntilAllSettled();
   c.mNodes[0]->mLink.mBeforeTransact = [&] {
     cr_assert(c.mNodes[1]->mConfig.CurrentReport().mOpenPromise == ConfigVersion(2));
     c.mStore.SetAvailable(false);
@@ -228,44 +231,44 @@
   }
 }
 
-// Guards against a majority that takes the service for down while the other side, which has it,
-// accepts a change. Only one node of the majority knows of the change.
+// Guards against a majority that considers the service down while a node on the other side of the
+// partition reaches it and accepts a change. Only one node of the majority promised the change.
 Test(ConfigStore, a_majority_without_the_service_does_not_miss_a_change)
 {
   Cluster c(3);
   c.ApplyFirst();
-  c.WaitUntilConfirmedOnce();
-  c.Cut(0, 2);
+  c.WaitUntilAllSettled();
+  c.CutLink(0, 2);
   c.mNodes[1]->mLink.mUp = c.mNodes[2]->mLink.mUp = false;
-  c.mNodes[0]->mLink.mBeforeTransact = [&] { c.Cut(0, 1); };
+  c.mNodes[0]->mLink.mBeforeTransact = [&] { c.CutLink(0, 1); };
   cr_assert(c.Apply(0, 1, "second", 4).mKind == Kind::Applied);
   for (int i = 1; i < 3; ++i) {
     c.WaitUntilState(i, ConfirmationState::Isolated);
   }
-  const auto end = std::chrono::steady_clock::now() + 2 * ShortTimes().mConfirmation.mConfirmedFor;
+  const auto end = std::chrono::steady_clock::now() + 2 * ShortTimes().mConfirmation.mReadValidity;
   c.WaitUntil([&] {
     cr_assert_not(c.mNodes[1]->mConfig.MayAcceptWork());
     cr_assert_not(c.mNodes[2]->mConfig.MayAcceptWork());
     return std::chrono::steady_clock::now() > end;
   });
-  c.mNetwork.mCut.clear();
+  c.mNetwork.mCutLinks.clear();
   c.WaitUntilAllHave(2);
   c.WaitUntilState(2, ConfirmationState::Confirmed);
 }
 
-// Guards against a change that a minority accepts.
+// Guards against a change that is accepted with promises of a minority only.
 Test(ConfigStore, refuses_a_change_without_a_majority_of_promises)
 {
   Cluster c(3);
   c.ApplyFirst();
-  c.Cut(0, 1);
-  c.Cut(0, 2);
+  c.CutLink(0, 1);
+  c.CutLink(0, 2);
   cr_assert(c.Apply(0, 1, "second", 4).mKind == Kind::Unavailable);
   cr_assert(c.mNodes[0]->mConfig.Version() == ConfigVersion(1));
   cr_assert(c.Apply(1, 1, "third", 5).mKind == Kind::Applied);
 }
 
-// Guards against a patch that is applied to another base and gives another configuration.
+// Guards against a patch that is applied to the wrong base and produces another configuration.
 Test(PushMessage, needs_the_base_and_the_hash)
 {
   const auto make = [](int aVersion, int aWeight) {
@@ -285,23 +288,23 @@
   cr_assert_not(ReadPush(patch, &one));
   patch["patch"] = Json::array({ { { "op", "remove" }, { "path", "/none" } } });
   cr_assert_not(ReadPush(patch, &one));
-  cr_assert(ReadPush(WriteWhole(two), nullptr));
+  cr_assert(ReadPush(WriteFullBody(two), nullptr));
 }
 
-// Guards against a peer that stays behind because it can't use the patch.
-Test(ConfigPush, falls_back_to_the_whole_body)
+// Guards against a peer that keeps its old version because it cannot apply the patch.
+Test(ConfigPush, falls_back_to_the_full_body)
 {
   Cluster c(2);
   c.ApplyFirst();
   c.WaitUntil([&] { return c.mNodes[0]->mConfig.Nodes().back().mVersion == ConfigVersion(1); });
   const auto& pushes = c.mNodes[0]->mConfig.Pushes();
-  const auto whole = pushes.WholeBodies();
+  const auto whole = pushes.FullBodyCount();
   cr_assert(c.Apply(0, 1, "second", 4).mKind == Kind::Applied);
   c.WaitUntilAllHave(2);
-  cr_assert_eq(pushes.Patches(), 1);
-  cr_assert_eq(pushes.WholeBodies(), whole);
+  cr_assert_eq(pushes.PatchCount(), 1);
+  cr_assert_eq(pushes.FullBodyCount(), whole);
   c.WaitUntil([&] { return c.mNodes[0]->mConfig.Nodes().back().mVersion == ConfigVersion(2); });
-  // The peer refuses the patch as after a hash mismatch.
+  // The peer answers like one that refused the patch because of a hash mismatch.
   int refused = 0;
   c.mNodes[1]->mTransport.Handle("config/push",
                                  [&](const Json& aBody, const peer::ReplyFunction& aReply) {
@@ -312,19 +315,19 @@
   c.WaitUntil([&] { return refused == 11; });
 }
 
-// Guards against the whole body for each change when changes follow each other faster than
+// Guards against sending the full body for each change when changes follow each other faster than
 // heartbeats, which made the traffic of a change grow with the size of the configuration.
 Test(ConfigPush, sends_patches_between_heartbeats)
 {
   Cluster c(2);
   c.ApplyFirst();
   const auto& pushes = c.mNodes[0]->mConfig.Pushes();
-  const auto whole = pushes.WholeBodies();
+  const auto whole = pushes.FullBodyCount();
   for (int i = 0; i < 10; ++i) {
     const auto change = "change-" + std::to_string(i);
     cr_assert(c.Apply(0, 1 + i, change, 4 + i).mKind == Kind::Applied);
     c.WaitUntilAllHave(2 + i);
   }
-  cr_assert_eq(pushes.Patches(), 10);
-  cr_assert_eq(pushes.WholeBodies(), whole);
+  cr_assert_eq(pushes.PatchCount(), 10);
+  cr_assert_eq(pushes.FullBodyCount(), whole);
 }
--- a/tests/configstore/ConfirmationTests.cpp
+++ b/tests/configstore/ConfirmationTests.cpp
@@ -13,14 +13,14 @@
 constexpr ConfigVersion kNone{ 0 };
 const NodeId kOther("b");
 
-// Seconds after the start of the node.
+// Returns the time aSeconds after the start of the node.
 TimePoint
 At(int aSeconds)
 {
   return TimePoint(std::chrono::hours(1)) + std::chrono::seconds(aSeconds);
 }
 
-// A node with version 5 that read it 20 s after its start.
+// A node with version 5 in force, which it read 20 s after its start.
 Confirmation
 Current()
 {
@@ -30,7 +30,7 @@
   return confirmation;
 }
 
-// A member with version 5 that was confirmed long ago.
+// The report of a member with version 5 whose confirmation expired (last read 60 s ago).
 MemberReport
 UnconfirmedMember()
 {
@@ -51,15 +51,15 @@
   cr_assert(confirmation.State(At(1), 1, kNone) == State::None);
 }
 
-// Guards against a node that woke from a pause and counts the read before it as recent.
-Test(Confirmation, ends_by_time_alone)
+// Guards against a node that counts a read as recent after its process was paused.
+Test(Confirmation, expires_without_an_event)
 {
   const auto confirmation = Current();
   cr_assert(confirmation.State(At(27), 3, kNone) == State::Confirmed);
   cr_assert(confirmation.State(At(28), 3, kNone) == State::Isolated);
 }
 
-// Guards against ages that leave out the way of the heartbeat.
+// Guards against ages that leave out the transit time of the heartbeat.
 Test(Confirmation, counts_a_peers_read_from_the_time_the_heartbeat_was_sent)
 {
   auto confirmation = Current();
@@ -70,7 +70,7 @@
   cr_assert(confirmation.State(At(44), 2, kNone) != State::Confirmed);
 }
 
-// Guards against confirmation that is passed on without end between nodes that read nothing.
+// Guards against nodes that keep confirming each other although none of them reads the head.
 Test(Confirmation, is_not_passed_on_by_members_that_did_not_read)
 {
   auto confirmation = Current();
@@ -80,7 +80,7 @@
   cr_assert(confirmation.State(At(40), 2, kNone) == State::Isolated);
 }
 
-// Guards against a node that knows of a newer version, lacks it and goes on.
+// Guards against a node that stays confirmed although it knows of a newer version that it lacks.
 Test(Confirmation, needs_the_version_that_was_read)
 {
   auto confirmation = Current();
@@ -90,17 +90,17 @@
   cr_assert(confirmation.State(At(41), 1, kNone) == State::Confirmed);
 }
 
-Test(Confirmation, goes_on_with_a_majority_while_the_service_is_down)
+Test(Confirmation, is_service_down_while_a_majority_lacks_the_service)
 {
   auto confirmation = Current();
   confirmation.NoteReport(kOther, UnconfirmedMember(), At(40));
   cr_assert(confirmation.State(At(42), 3, kNone) == State::ServiceDown);
-  cr_assert(confirmation.State(At(42), 4, kNone) == State::Isolated, "half is no majority");
-  cr_assert(confirmation.State(At(43), 3, kNone) == State::Isolated, "not heard any more");
+  cr_assert(confirmation.State(At(42), 4, kNone) == State::Isolated, "half is not a majority");
+  cr_assert(confirmation.State(At(43), 3, kNone) == State::Isolated, "report is too old");
 }
 
-// Guards against a majority that goes on although a change may have been accepted.
-Test(Confirmation, does_not_go_on_with_doubt)
+// Guards against a majority that accepts work although a change may have been accepted elsewhere.
+Test(Confirmation, is_isolated_if_a_change_may_have_been_accepted)
 {
   const auto stateWith = [](const MemberReport& aReport, ConfigVersion aOwnPromise = kNone) {
     auto confirmation = Current();
@@ -109,9 +109,9 @@
   };
   auto report = UnconfirmedMember();
   cr_assert(stateWith(report) == State::ServiceDown);
-  cr_assert(stateWith(report, ConfigVersion(6)) == State::Isolated, "own promise");
+  cr_assert(stateWith(report, ConfigVersion(6)) == State::Isolated, "own open promise");
   report.mOpenPromise = ConfigVersion(6);
-  cr_assert(stateWith(report) == State::Isolated, "promise of a member");
+  cr_assert(stateWith(report) == State::Isolated, "open promise of a member");
   report = UnconfirmedMember();
   report.mVersion = ConfigVersion(6);
   cr_assert(stateWith(report) == State::Isolated, "newer version of a member");
@@ -123,8 +123,8 @@
   cr_assert(stateWith(report) == State::Isolated, "confirmed member");
 }
 
-// Guards against a restarted node that forgot a promise whose write was still under way.
-Test(Confirmation, does_not_go_on_after_a_restart_before_promises_are_settled)
+// Guards against a restarted node that has lost a promise whose write is still in flight.
+Test(Confirmation, is_isolated_after_a_restart_until_promises_are_settled)
 {
   Confirmation confirmation({}, At(0));
   confirmation.SetInForce(ConfigVersion(5));
@@ -139,7 +139,7 @@
   table.Add("one", ConfigVersion(6), At(0));
   table.Add("two", ConfigVersion(7), At(0));
   table.NoteDirectRead(ConfigVersion(5), At(9));
-  cr_assert(table.HighestOpen() == ConfigVersion(7), "the write may still be under way");
+  cr_assert(table.HighestOpen() == ConfigVersion(7), "the write may still be in flight");
   table.Abandon("two");
   cr_assert(table.HighestOpen() == ConfigVersion(6));
   table.SetInForce(ConfigVersion(6));
