--- a/src/workers/HttpWorkerApi.cpp
+++ b/src/workers/HttpWorkerApi.cpp
@@ -37,7 +37,7 @@
 }
 
 std::error_code
-TranslateTransport(std::error_code aError)
+TranslateHttpError(std::error_code aError)
 {
   if (aError == make_error_code(HttpError::NotSent)) {
     return WorkerError::NotSent;
@@ -80,7 +80,7 @@
   if (aResponse.mStatus == 404) {
     return WorkerError::NotFound;
   }
-  // A failure inside the worker may come before or after the command took effect.
+  // An error inside the worker may occur before or after the command took effect.
   return aResponse.mStatus >= 500 ? WorkerError::OutcomeUnknown : WorkerError::BadAnswer;
 }
 
@@ -130,21 +130,21 @@
   mClient->Send(aRequest, [client, server = aRequest.mServer, callback = std::move(aCallback)](
                             std::error_code aError, const http::Response& aResponse) {
     if (aError && aError != make_error_code(http::HttpError::NotSent)) {
-      // Pooled connections to a silent worker are probably silent too; the next call shall show
-      // whether new ones work.
+      // Other pooled connections to a worker that does not respond have probably failed too, so the
+      // next call must open a new one, which shows whether new connections work.
       client->CloseIdle(server);
     }
-    callback(aError ? detail::TranslateTransport(aError) : detail::TranslateStatus(aResponse),
+    callback(aError ? detail::TranslateHttpError(aError) : detail::TranslateStatus(aResponse),
              aResponse);
   });
 }
 
 void
-HttpWorkerApi::Command(const SocketAddress& aWorker, const LeaseId& aLease, const char* aCommand,
-                       const Json& aBody, DoneCallback aCallback)
+HttpWorkerApi::SendCommand(const SocketAddress& aWorker, const LeaseId& aLease,
+                           const char* aCommand, const Json& aBody, DoneCallback aCallback)
 {
   auto request = detail::MakeRequest(aWorker, http::Method::Post,
-                                     detail::LeaseTarget(aLease, aCommand), kCommandDeadline);
+                                     detail::LeaseTarget(aLease, aCommand), kCommandTimeout);
   request.mBody = DumpJson(aBody);
   Call(request, [callback = std::move(aCallback)](std::error_code aError, const http::Response&) {
     callback(aError);
@@ -178,7 +178,7 @@
                        LeaseCallback aCallback)
 {
   auto request = detail::MakeRequest(aWorker, http::Method::Put,
-                                     detail::LeaseTarget(aRequest.mLease), kReserveDeadline);
+                                     detail::LeaseTarget(aRequest.mLease), kReserveTimeout);
   request.mBody = DumpJson(aRequest);
   Call(request,
        [callback = std::move(aCallback)](std::error_code aError, const http::Response& aResponse) {
@@ -200,8 +200,8 @@
 HttpWorkerApi::Start(const SocketAddress& aWorker, const LeaseId& aLease, const Fence& aFence,
                      Duration aTtl, DoneCallback aCallback)
 {
-  Command(aWorker, aLease, "start", { { "fence", aFence }, { "ttl_ms", aTtl.count() } },
-          std::move(aCallback));
+  SendCommand(aWorker, aLease, "start", { { "fence", aFence }, { "ttl_ms", aTtl.count() } },
+              std::move(aCallback));
 }
 
 void
@@ -212,7 +212,7 @@
   for (const auto& it : aLeases) {
     leases.push_back(it.Value());
   }
-  auto request = detail::MakeRequest(aWorker, http::Method::Post, "/v1/renew", kCommandDeadline);
+  auto request = detail::MakeRequest(aWorker, http::Method::Post, "/v1/renew", kCommandTimeout);
   request.mBody =
     DumpJson({ { "fence", aFence }, { "ttl_ms", aTtl.count() }, { "leases", std::move(leases) } });
   Call(request,
@@ -229,7 +229,7 @@
 HttpWorkerApi::Stop(const SocketAddress& aWorker, const LeaseId& aLease, const Fence& aFence,
                     Duration aDeadline, bool aCheckpoint, DoneCallback aCallback)
 {
-  Command(
+  SendCommand(
     aWorker, aLease, "stop",
     { { "fence", aFence }, { "deadline_ms", aDeadline.count() }, { "checkpoint", aCheckpoint } },
     std::move(aCallback));
@@ -239,15 +239,15 @@
 HttpWorkerApi::Throttle(const SocketAddress& aWorker, const LeaseId& aLease, const Fence& aFence,
                         int aPercent, DoneCallback aCallback)
 {
-  Command(aWorker, aLease, "throttle", { { "fence", aFence }, { "percent", aPercent } },
-          std::move(aCallback));
+  SendCommand(aWorker, aLease, "throttle", { { "fence", aFence }, { "percent", aPercent } },
+              std::move(aCallback));
 }
 
 void
 HttpWorkerApi::Checkpoint(const SocketAddress& aWorker, const LeaseId& aLease, const Fence& aFence,
                           DoneCallback aCallback)
 {
-  Command(aWorker, aLease, "checkpoint", { { "fence", aFence } }, std::move(aCallback));
+  SendCommand(aWorker, aLease, "checkpoint", { { "fence", aFence } }, std::move(aCallback));
 }
 
 void
@@ -255,7 +255,7 @@
                            AnswerCallback aCallback)
 {
   const auto request = detail::MakeRequest(aWorker, http::Method::Get,
-                                           detail::LeaseTarget(aLease, "answer"), kAnswerDeadline);
+                                           detail::LeaseTarget(aLease, "answer"), kAnswerTimeout);
   Call(request,
        [callback = std::move(aCallback)](std::error_code aError, const http::Response& aResponse) {
          callback(aError, aError ? std::string() : aResponse.mBody);
@@ -267,7 +267,7 @@
                        DoneCallback aCallback)
 {
   auto request = detail::MakeRequest(aWorker, http::Method::Delete, detail::LeaseTarget(aLease),
-                                     kCommandDeadline);
+                                     kCommandTimeout);
   request.mBody = DumpJson({ { "fence", aFence } });
   Call(request, [callback = std::move(aCallback)](std::error_code aError, const http::Response&) {
     callback(aError);
@@ -275,11 +275,11 @@
 }
 
 void
-HttpWorkerApi::AskPhase(http::Method aMethod, const SocketAddress& aWorker,
-                        const RequestId& aRequest, PhaseCallback aCallback)
+HttpWorkerApi::SendPhaseRequest(http::Method aMethod, const SocketAddress& aWorker,
+                                const RequestId& aRequest, PhaseCallback aCallback)
 {
   auto request =
-    detail::MakeRequest(aWorker, aMethod, detail::RequestTarget(aRequest), kCommandDeadline);
+    detail::MakeRequest(aWorker, aMethod, detail::RequestTarget(aRequest), kCommandTimeout);
   request.mNewConnection = true;
   Call(request,
        [callback = std::move(aCallback)](std::error_code aError, const http::Response& aResponse) {
@@ -295,7 +295,7 @@
 HttpWorkerApi::FindRequest(const SocketAddress& aWorker, const RequestId& aRequest,
                            PhaseCallback aCallback)
 {
-  AskPhase(http::Method::Get, aWorker, aRequest, std::move(aCallback));
+  SendPhaseRequest(http::Method::Get, aWorker, aRequest, std::move(aCallback));
 }
 
 void
@@ -303,7 +303,7 @@
                                   AnswerCallback aCallback)
 {
   auto request = detail::MakeRequest(aWorker, http::Method::Get,
-                                     detail::RequestTarget(aRequest) + "/answer", kAnswerDeadline);
+                                     detail::RequestTarget(aRequest) + "/answer", kAnswerTimeout);
   request.mNewConnection = true;
   Call(request,
        [callback = std::move(aCallback)](std::error_code aError, const http::Response& aResponse) {
@@ -315,7 +315,7 @@
 HttpWorkerApi::DropRequest(const SocketAddress& aWorker, const RequestId& aRequest,
                            PhaseCallback aCallback)
 {
-  AskPhase(http::Method::Delete, aWorker, aRequest, std::move(aCallback));
+  SendPhaseRequest(http::Method::Delete, aWorker, aRequest, std::move(aCallback));
 }
 
 } // namespace lovagerock::workers
--- a/src/workers/HttpWorkerApi.h
+++ b/src/workers/HttpWorkerApi.h
@@ -7,17 +7,17 @@
 
 namespace lovagerock::workers {
 
-// Time after the wait of a poll until the poll is abandoned.
+// Time beyond its wait after which a poll times out.
 inline constexpr Duration kPollMargin{ 800 };
-// Limit of a reservation. A gang's start has 0.5 s for it.
-inline constexpr Duration kReserveDeadline{ 500 };
-// Limit of the other commands, the time in which a start must be confirmed.
-inline constexpr Duration kCommandDeadline{ 2000 };
-// Limit of reading an answer, which may be large.
-inline constexpr Duration kAnswerDeadline{ 30000 };
+// Timeout of a reservation. The start of a gang allows 0.5 s for it.
+inline constexpr Duration kReserveTimeout{ 500 };
+// Timeout of the other commands. A start must be confirmed within this time.
+inline constexpr Duration kCommandTimeout{ 2000 };
+// Timeout of reading the answer of a task or request, which may be large.
+inline constexpr Duration kAnswerTimeout{ 30000 };
 
-// Talks the worker protocol over HTTP. Belongs to the client's loop. Callbacks of calls that are
-// open when the client is destroyed don't run.
+// Implements WorkerApi over HTTP. Must be used on the loop of the HttpClient. Callbacks of calls
+// that are open when the HttpClient is destroyed don't run.
 class HttpWorkerApi
 {
 public:
@@ -49,12 +49,12 @@
 private:
   using ResponseCallback = std::function<void(std::error_code, const http::Response&)>;
 
-  // Makes a call and translates transport errors and refusals.
+  // Sends a request; converts transport errors and refusals to WorkerError.
   void Call(const http::ClientRequest& aRequest, ResponseCallback aCallback);
-  void Command(const SocketAddress& aWorker, const LeaseId& aLease, const char* aCommand,
-               const Json& aBody, DoneCallback aCallback);
-  void AskPhase(http::Method aMethod, const SocketAddress& aWorker, const RequestId& aRequest,
-                PhaseCallback aCallback);
+  void SendCommand(const SocketAddress& aWorker, const LeaseId& aLease, const char* aCommand,
+                   const Json& aBody, DoneCallback aCallback);
+  void SendPhaseRequest(http::Method aMethod, const SocketAddress& aWorker,
+                        const RequestId& aRequest, PhaseCallback aCallback);
 
   http::HttpClient* mClient;
 };
--- a/src/workers/RelayTable.cpp
+++ b/src/workers/RelayTable.cpp
@@ -30,8 +30,8 @@
 }
 
 void
-Apply(const RelayedChange& aChange,
-      std::map<SocketAddress, std::shared_ptr<const WorkerState>>& aStates)
+ApplyChange(const RelayedChange& aChange,
+            std::map<SocketAddress, std::shared_ptr<const WorkerState>>& aStates)
 {
   if (aChange.mState) {
     aStates[aChange.mAddress] = aChange.mState;
@@ -83,7 +83,7 @@
 }
 
 RelayTable::Result
-RelayTable::Take(const RelayBatch& aBatch)
+RelayTable::ApplyBatch(const RelayBatch& aBatch)
 {
   const auto it = mWatchers.find(aBatch.mNode);
   if (it == mWatchers.end() || it->second.mIncarnation != aBatch.mIncarnation ||
@@ -97,75 +97,75 @@
   }
   watcher.mSequence = aBatch.mSequence;
   for (const auto& change : aBatch.mChanges) {
-    detail::Apply(change, watcher.mStates);
+    detail::ApplyChange(change, watcher.mStates);
   }
-  Extend(watcher);
+  ExtendValidity(watcher);
   return Result::Applied;
 }
 
 bool
-RelayTable::Replace(const RelayBatch& aWhole)
+RelayTable::ApplySnapshot(const RelayBatch& aSnapshot)
 {
-  auto& watcher = mWatchers[aWhole.mNode];
-  if (aWhole.mIncarnation < watcher.mIncarnation ||
-      (watcher.mSynced && aWhole.mIncarnation == watcher.mIncarnation &&
-       aWhole.mSequence <= watcher.mSequence)) {
+  auto& watcher = mWatchers[aSnapshot.mNode];
+  if (aSnapshot.mIncarnation < watcher.mIncarnation ||
+      (watcher.mSynced && aSnapshot.mIncarnation == watcher.mIncarnation &&
+       aSnapshot.mSequence <= watcher.mSequence)) {
     return false;
   }
-  if (aWhole.mIncarnation != watcher.mIncarnation) {
+  if (aSnapshot.mIncarnation != watcher.mIncarnation) {
     watcher = {};
-    watcher.mIncarnation = aWhole.mIncarnation;
+    watcher.mIncarnation = aSnapshot.mIncarnation;
   }
-  watcher.mSequence = aWhole.mSequence;
+  watcher.mSequence = aSnapshot.mSequence;
   watcher.mSynced = true;
   watcher.mStates.clear();
-  for (const auto& change : aWhole.mChanges) {
-    detail::Apply(change, watcher.mStates);
+  for (const auto& change : aSnapshot.mChanges) {
+    detail::ApplyChange(change, watcher.mStates);
   }
-  Extend(watcher);
+  ExtendValidity(watcher);
   return true;
 }
 
 bool
-RelayTable::Assure(const NodeId& aNode, std::uint64_t aIncarnation, std::uint64_t aSequence,
-                   TimePoint aSent)
+RelayTable::Confirm(const NodeId& aNode, std::uint64_t aIncarnation, std::uint64_t aSequence,
+                    TimePoint aSent)
 {
   auto& watcher = mWatchers[aNode];
   if (aIncarnation < watcher.mIncarnation) {
     return false;
   }
   if (aIncarnation > watcher.mIncarnation) {
-    const bool counted = watcher.mCounted;
+    const bool wasValid = watcher.mWasValid;
     watcher = {};
     watcher.mIncarnation = aIncarnation;
-    watcher.mCounted = counted;
+    watcher.mWasValid = wasValid;
   }
-  // The batch that an assurance names may come over another connection a little later. One that
-  // is still missing at the next assurance is lost.
-  const bool lost = watcher.mSequence < watcher.mAssured;
-  if (aSent >= watcher.mAssuredAt) {
-    watcher.mAssured = aSequence;
-    watcher.mAssuredAt = aSent;
+  // The batch that a confirmation names may arrive a little later over another connection. If it is
+  // still missing at the next confirmation, it is lost.
+  const bool lost = watcher.mSequence < watcher.mConfirmedSequence;
+  if (aSent >= watcher.mConfirmedAt) {
+    watcher.mConfirmedSequence = aSequence;
+    watcher.mConfirmedAt = aSent;
   }
-  Extend(watcher);
+  ExtendValidity(watcher);
   return !watcher.mSynced || lost;
 }
 
 std::vector<NodeId>
-RelayTable::TakeLapsed(TimePoint aNow)
+RelayTable::TakeInvalidated(TimePoint aNow)
 {
-  std::vector<NodeId> lapsed;
+  std::vector<NodeId> invalidated;
   for (auto& [node, watcher] : mWatchers) {
-    const bool counts = watcher.mSynced && aNow < watcher.mValidUntil;
-    if (std::exchange(watcher.mCounted, counts) && !counts) {
-      lapsed.push_back(node);
+    const bool isValid = watcher.mSynced && aNow < watcher.mValidUntil;
+    if (std::exchange(watcher.mWasValid, isValid) && !isValid) {
+      invalidated.push_back(node);
     }
   }
   std::erase_if(mWatchers, [&](const auto& aEntry) {
-    constexpr Duration kKept{ 60000 };
-    return aNow - std::max(aEntry.second.mValidUntil, aEntry.second.mAssuredAt) > kKept;
+    constexpr Duration kRetention{ 60000 };
+    return aNow - std::max(aEntry.second.mValidUntil, aEntry.second.mConfirmedAt) > kRetention;
   });
-  return lapsed;
+  return invalidated;
 }
 
 RelayedState
@@ -176,7 +176,7 @@
       continue;
     }
     if (const auto it = watcher.mStates.find(aAddress); it != watcher.mStates.end()) {
-      watcher.mCounted = true;
+      watcher.mWasValid = true;
       return { node, it->second };
     }
   }
@@ -184,10 +184,10 @@
 }
 
 void
-RelayTable::Extend(Watcher& aWatcher) const
+RelayTable::ExtendValidity(Watcher& aWatcher) const
 {
-  if (aWatcher.mSynced && aWatcher.mSequence >= aWatcher.mAssured) {
-    aWatcher.mValidUntil = aWatcher.mAssuredAt + mValidity;
+  if (aWatcher.mSynced && aWatcher.mSequence >= aWatcher.mConfirmedSequence) {
+    aWatcher.mValidUntil = aWatcher.mConfirmedAt + mValidity;
   }
 }
 
--- a/src/workers/RelayTable.h
+++ b/src/workers/RelayTable.h
@@ -14,26 +14,27 @@
 
 namespace lovagerock::workers {
 
-// Consecutive changes of one watcher, or all that it watches.
+// A numbered batch of changes from one watcher, or a snapshot of all states that it publishes.
 struct RelayBatch
 {
   NodeId mNode;
-  // Of the watcher; its sequence starts anew after a restart.
+  // Incarnation of the watcher's process; its batch numbers start anew after a restart.
   std::uint64_t mIncarnation = 0;
-  // Number of the batch, from 1; of a whole state, the number of the last batch in it.
+  // Number of the batch, from 1; in a snapshot, the number of the last batch that it includes.
   std::uint64_t mSequence = 0;
   std::vector<RelayedChange> mChanges;
 };
 
-// Conversions to and from the body of a call. Reading gives nothing if the body is malformed.
+// Conversions to and from the body of a call. ReadRelayBatch() returns nullopt if the body is
+// malformed.
 Json
 WriteRelayBatch(const RelayBatch& aBatch);
 std::optional<RelayBatch>
 ReadRelayBatch(const Json& aJson);
 
-// What the other nodes relay, without any transport. A watcher counts only while it is assured:
-// this node has all its batches, and the watcher answered that it still watches within the
-// validity. Times are given by the caller and never go back.
+// The worker states that other nodes relay, independent of the transport. A watcher is valid only
+// while this node has all its batches and it has confirmed within the validity period that it still
+// watches. Times are given by the caller and never go back.
 class RelayTable
 {
 public:
@@ -44,24 +45,26 @@
 
   enum class Result
   {
-    // The batch is the next one.
+    // The batch was the next one in sequence.
     Applied,
-    // The batch is old, or of an unknown incarnation.
+    // The batch is old or of an unknown incarnation, or a snapshot of the watcher is needed first.
     Ignored,
-    // A batch is missing; the watcher doesn't count until its whole state was read.
+    // An earlier batch is missing; the watcher is invalid until its snapshot was applied.
     Gap,
   };
 
-  Result Take(const RelayBatch& aBatch);
-  // Takes the whole state of a watcher; false if it is older than what is known.
-  bool Replace(const RelayBatch& aWhole);
-  // Notes that a watcher had sent the given batch and still watched after the given time. Gives
-  // whether its whole state must be read.
-  bool
-  Assure(const NodeId& aNode, std::uint64_t aIncarnation, std::uint64_t aSequence, TimePoint aSent);
-  // The watchers that stopped counting since the last call.
-  std::vector<NodeId> TakeLapsed(TimePoint aNow);
-  // Whoever relies on the state learns from TakeLapsed() when the watcher stops counting.
+  Result ApplyBatch(const RelayBatch& aBatch);
+  // Replaces a watcher's states by its snapshot. Returns false if the snapshot is not newer than
+  // the known states.
+  bool ApplySnapshot(const RelayBatch& aSnapshot);
+  // Records that a watcher had sent batch aSequence and still watched after aSent. Returns whether
+  // its snapshot must be requested.
+  bool Confirm(const NodeId& aNode, std::uint64_t aIncarnation, std::uint64_t aSequence,
+               TimePoint aSent);
+  // Returns the watchers that became invalid since the last call.
+  std::vector<NodeId> TakeInvalidated(TimePoint aNow);
+  // Returns the state that a valid watcher relays; its mState is null if there is none.
+  // TakeInvalidated() returns the watcher once it becomes invalid.
   RelayedState Find(const SocketAddress& aAddress, TimePoint aNow);
 
 private:
@@ -70,16 +73,16 @@
     std::uint64_t mIncarnation = 0;
     std::uint64_t mSequence = 0;
     bool mSynced = false;
-    // Counted when TakeLapsed() or Find() last looked.
-    bool mCounted = false;
+    // Valid at the last check by TakeInvalidated() or Find().
+    bool mWasValid = false;
     TimePoint mValidUntil;
-    // The last assurance, which may name a batch that is still on its way.
-    std::uint64_t mAssured = 0;
-    TimePoint mAssuredAt;
+    // The latest confirmation; its batch may not have arrived yet.
+    std::uint64_t mConfirmedSequence = 0;
+    TimePoint mConfirmedAt;
     std::map<SocketAddress, std::shared_ptr<const WorkerState>> mStates;
   };
 
-  void Extend(Watcher& aWatcher) const;
+  void ExtendValidity(Watcher& aWatcher) const;
 
   Duration mValidity;
   std::map<NodeId, Watcher> mWatchers;
--- a/src/workers/StateRelay.h
+++ b/src/workers/StateRelay.h
@@ -17,36 +17,38 @@
 
 namespace lovagerock::workers {
 
-// Times of a StateRelay.
+// Delays, periods and timeouts of a StateRelay.
 struct RelaySettings
 {
-  // Merges bursts of changes into one batch.
+  // Delay before a batch is sent, so that bursts of changes go into one batch.
   Duration mFlushDelay{ 20 };
-  // How long a heartbeat's answer assures that its sender watches. Heartbeats come every second.
-  // With the check period and the first poll after it, a worker that falls silent together with its
-  // watcher is noticed within 3 s.
+  // How long after a heartbeat was sent its answer proves that the answering node still watches its
+  // workers. Heartbeats are sent every second. With mCheckPeriod and the first poll after it, a
+  // worker that stops responding together with its watcher is detected within 3 s.
   Duration mValidity{ 1300 };
   Duration mCheckPeriod{ 100 };
   Duration mCallTimeout{ 1000 };
 };
 
 // Relays the states of the workers that this node watches to the other nodes of its region, and
-// keeps what they relay. Heartbeats carry the number of the last batch, so that a lost batch is
-// noticed. Belongs to the transport's loop.
+// stores the states that they relay. Heartbeat answers carry the number of the last batch, so that
+// a receiver detects a lost batch. Must be used on the transport's loop.
 template<peer::PeerTransport Transport>
 class StateRelay
 {
 public:
   struct Hooks
   {
-    // Where batches go.
+    // Addresses that batches are sent to.
     std::function<std::vector<SocketAddress>()> mPeers;
-    // Whether this node's polls are in time, which they aren't just after a pause.
-    std::function<bool()> mIsTimely;
-    // A watcher relayed a change.
+    // Whether this node's polls are recent enough for others to rely on; false just after a pause
+    // of the process.
+    std::function<bool()> mArePollsCurrent;
+    // Called for each change that a watcher relayed.
     std::function<void(const NodeId&, const RelayedChange&)> mOnChange;
-    // What a watcher relayed doesn't count any more, or all of it may have changed.
-    std::function<void(const NodeId&)> mOnLapsed;
+    // Called when a watcher became invalid, or when its snapshot replaced its states, any of which
+    // may have changed.
+    std::function<void(const NodeId&)> mOnInvalidated;
   };
 
   StateRelay(EventLoop& aLoop, Transport& aTransport, NodeId aNode, std::uint64_t aIncarnation,
@@ -66,71 +68,73 @@
       }
       aReply(Json::object());
     });
-    mTransport.Handle(
-      kWholeMethod, [weak = std::weak_ptr(mAlive)](const Json&, const peer::ReplyFunction& aReply) {
-        const auto self = weak.lock();
-        aReply(self ? (*self)->WriteWhole() : Json::object());
-      });
-    mCheck = mLoop.Every(mSettings.mCheckPeriod, [this] { ReportLapsed(); });
+    mTransport.Handle(kSnapshotMethod, [weak = std::weak_ptr(mAlive)](
+                                         const Json&, const peer::ReplyFunction& aReply) {
+      const auto self = weak.lock();
+      aReply(self ? (*self)->WriteSnapshot() : Json::object());
+    });
+    mCheckTimer = mLoop.Every(mSettings.mCheckPeriod, [this] { ReportInvalidated(); });
   }
   StateRelay(const StateRelay&) = delete;
   StateRelay& operator=(const StateRelay&) = delete;
 
-  // Offers a state to the other nodes, or withdraws it. What they know already isn't sent again.
+  // Publishes a state to the other nodes, or withdraws it. Does not send a version that was
+  // published already.
   void Offer(const RelayedChange& aChange)
   {
-    const auto it = mOffered.find(aChange.mAddress);
+    const auto it = mPublished.find(aChange.mAddress);
     if (aChange.mState) {
-      if (it != mOffered.end() && it->second->Version() == aChange.mState->Version()) {
+      if (it != mPublished.end() && it->second->Version() == aChange.mState->Version()) {
         return;
       }
-      mOffered[aChange.mAddress] = aChange.mState;
+      mPublished[aChange.mAddress] = aChange.mState;
     } else {
-      if (it == mOffered.end()) {
+      if (it == mPublished.end()) {
         return;
       }
-      mOffered.erase(it);
+      mPublished.erase(it);
     }
     mUnsent[aChange.mAddress] = aChange;
-    if (!mFlush.IsPending()) {
-      mFlush = mLoop.After(mSettings.mFlushDelay, [this] { Flush(); });
+    if (!mFlushTimer.IsPending()) {
+      mFlushTimer = mLoop.After(mSettings.mFlushDelay, [this] { Flush(); });
     }
   }
 
-  // The state of a worker that another node relays at present.
+  // Returns the state of a worker that another node currently relays.
   RelayedState Find(const SocketAddress& aAddress)
   {
     return mTable.Find(aAddress, std::chrono::steady_clock::now());
   }
 
-  // The payload of this node's heartbeats: the number of the last batch; null if it must not be
-  // relied on.
+  // Returns the payload of this node's heartbeat answers: the number of the last batch, or null if
+  // other nodes must not rely on the published states.
   Json WritePayload()
   {
-    if (!mHooks.mIsTimely()) {
+    if (!mHooks.mArePollsCurrent()) {
       return nullptr;
     }
     Flush();
     return mSequence;
   }
 
-  // Takes the payload that a member of the region sent in answer to a heartbeat.
+  // Processes the payload that a member of the region sent in answer to the heartbeat of aSent;
+  // requests a snapshot if a batch of the member is missing.
   void ReadPayload(const NodeId& aNode, std::uint64_t aIncarnation, const SocketAddress& aAddress,
                    const Json& aPayload, TimePoint aSent)
   {
     if (aPayload.is_number_unsigned() &&
-        mTable.Assure(aNode, aIncarnation, aPayload.template get<std::uint64_t>(), aSent)) {
-      ReadWhole(aNode, aAddress);
+        mTable.Confirm(aNode, aIncarnation, aPayload.template get<std::uint64_t>(), aSent)) {
+      RequestSnapshot(aNode, aAddress);
     }
   }
 
 private:
   static constexpr const char* kBatchMethod = "workers.changed";
-  static constexpr const char* kWholeMethod = "workers.watched";
+  static constexpr const char* kSnapshotMethod = "workers.watched";
 
   void Flush()
   {
-    mFlush.Cancel();
+    mFlushTimer.Cancel();
     if (mUnsent.empty()) {
       return;
     }
@@ -140,28 +144,28 @@
     }
     const auto body = WriteRelayBatch(batch);
     for (const auto& it : mHooks.mPeers()) {
-      // A lost batch is noticed by the receiver.
+      // Errors are ignored, because the receiver detects a lost batch by its number.
       mTransport.Call(it, kBatchMethod, body, mSettings.mCallTimeout,
                       [](std::error_code, const Json&) {});
     }
   }
 
-  Json WriteWhole()
+  Json WriteSnapshot()
   {
     Flush();
-    RelayBatch whole{ mNode, mIncarnation, mSequence, {} };
-    for (const auto& [address, state] : mOffered) {
-      whole.mChanges.push_back({ address, state, false });
+    RelayBatch snapshot{ mNode, mIncarnation, mSequence, {} };
+    for (const auto& [address, state] : mPublished) {
+      snapshot.mChanges.push_back({ address, state, false });
     }
-    return WriteRelayBatch(whole);
+    return WriteRelayBatch(snapshot);
   }
 
   void OnBatch(const Json& aBody)
   {
     const auto batch = ReadRelayBatch(aBody);
-    const auto result = batch ? mTable.Take(*batch) : RelayTable::Result::Ignored;
+    const auto result = batch ? mTable.ApplyBatch(*batch) : RelayTable::Result::Ignored;
     if (result == RelayTable::Result::Gap) {
-      ReportLapsed();
+      ReportInvalidated();
     }
     if (result == RelayTable::Result::Applied) {
       for (const auto& it : batch->mChanges) {
@@ -170,37 +174,38 @@
     }
   }
 
-  void ReadWhole(const NodeId& aNode, const SocketAddress& aAddress)
+  void RequestSnapshot(const NodeId& aNode, const SocketAddress& aAddress)
   {
-    if (!mReading.insert(aNode).second) {
+    if (!mPendingSnapshots.insert(aNode).second) {
       return;
     }
     mTransport.Call(
-      aAddress, kWholeMethod, Json::object(), mSettings.mCallTimeout,
+      aAddress, kSnapshotMethod, Json::object(), mSettings.mCallTimeout,
       [weak = std::weak_ptr(mAlive), aNode](std::error_code aError, const Json& aBody) {
         if (const auto self = weak.lock()) {
-          (*self)->mReading.erase(aNode);
-          (*self)->OnWhole(aError ? std::nullopt : ReadRelayBatch(aBody));
+          (*self)->mPendingSnapshots.erase(aNode);
+          (*self)->OnSnapshot(aError ? std::nullopt : ReadRelayBatch(aBody));
         }
       });
   }
 
-  void OnWhole(const std::optional<RelayBatch>& aWhole)
+  void OnSnapshot(const std::optional<RelayBatch>& aSnapshot)
   {
-    if (aWhole && mTable.Replace(*aWhole)) {
+    if (aSnapshot && mTable.ApplySnapshot(*aSnapshot)) {
       LogEvent("worker_states_read")
-        .With("member", aWhole->mNode)
-        .With("workers", aWhole->mChanges.size());
-      // Single changes aren't known, so whoever relied on the watcher looks for itself first.
-      mHooks.mOnLapsed(aWhole->mNode);
+        .With("member", aSnapshot->mNode)
+        .With("workers", aSnapshot->mChanges.size());
+      // The snapshot does not tell which states changed, so all workers of the watcher are polled
+      // again.
+      mHooks.mOnInvalidated(aSnapshot->mNode);
     }
   }
 
-  void ReportLapsed()
+  void ReportInvalidated()
   {
-    for (const auto& it : mTable.TakeLapsed(std::chrono::steady_clock::now())) {
+    for (const auto& it : mTable.TakeInvalidated(std::chrono::steady_clock::now())) {
       LogEvent("watcher_lapsed").With("member", it);
-      mHooks.mOnLapsed(it);
+      mHooks.mOnInvalidated(it);
     }
   }
 
@@ -211,14 +216,14 @@
   Hooks mHooks;
   RelaySettings mSettings;
   RelayTable mTable;
-  // What the other nodes may rely on, with the batches sent and mUnsent.
-  std::map<SocketAddress, std::shared_ptr<const WorkerState>> mOffered;
+  // The published states, including those in mUnsent.
+  std::map<SocketAddress, std::shared_ptr<const WorkerState>> mPublished;
   std::map<SocketAddress, RelayedChange> mUnsent;
   std::uint64_t mSequence = 0;
-  std::set<NodeId> mReading;
-  Timer mFlush;
-  Timer mCheck;
-  // Expires with the relay, whose handlers and calls the transport may outlive.
+  std::set<NodeId> mPendingSnapshots;
+  Timer mFlushTimer;
+  Timer mCheckTimer;
+  // Expires with the relay, because the transport may run its handlers and callbacks after that.
   std::shared_ptr<StateRelay*> mAlive = std::make_shared<StateRelay*>(this);
 };
 
--- a/src/workers/WatchSharing.h
+++ b/src/workers/WatchSharing.h
@@ -9,7 +9,7 @@
 
 namespace lovagerock::workers {
 
-// A worker's state as another node, its watcher, relayed it.
+// A worker's state as relayed by its watcher, the node that polls it for the other nodes.
 struct RelayedState
 {
   NodeId mWatcher;
@@ -17,26 +17,26 @@
   std::shared_ptr<const WorkerState> mState;
 };
 
-// A change of one worker that a watcher relays.
+// A change of one worker's state that its watcher relays.
 struct RelayedChange
 {
   SocketAddress mAddress;
-  // Null if the sender does not watch the worker any more.
+  // Null if the sender no longer publishes a state of the worker.
   std::shared_ptr<const WorkerState> mState;
-  // The sender stopped because the worker is silent.
+  // The sender suspects the worker because its polls fail.
   bool mSuspected = false;
 };
 
-// Lets a monitor leave the polls of some workers to other nodes.
+// Callbacks by which a WorkerMonitor shares the polling of workers with other nodes.
 struct WatchSharing
 {
-  // Whether this node is the one that watches the worker for all.
+  // Whether this node owns the worker: it polls the worker and publishes the state to the others.
   std::function<bool(const SocketAddress&)> mOwns;
-  // The state that another node relays at present.
+  // Returns the state that another node currently relays.
   std::function<RelayedState(const SocketAddress&)> mFind;
-  // Offers a state of an owned worker to the other nodes, or withdraws it. Called again with what
-  // was offered already.
-  std::function<void(const RelayedChange&)> mOffer;
+  // Publishes the state of an owned worker to the other nodes, or withdraws it. May be called
+  // repeatedly with the same state.
+  std::function<void(const RelayedChange&)> mPublish;
 };
 
 } // namespace lovagerock::workers
--- a/src/workers/WorkerApi.h
+++ b/src/workers/WorkerApi.h
@@ -11,20 +11,21 @@
 
 namespace lovagerock::workers {
 
-// What a worker knows of a service request.
+// Phase of a service request as its worker reports it.
 enum class RequestPhase
 {
+  // The worker has no record of the request.
   Unknown,
   Running,
   Done,
 };
 
-// What a poll found.
+// Result of a successful poll.
 struct PollAnswer
 {
-  // The state; nothing if it did not change during the wait.
+  // Empty if the state did not change during the wait.
   std::optional<WorkerState> mState;
-  // The version of an unchanged state; nothing if the worker does not name it.
+  // The version of an unchanged state; empty if the worker does not report it.
   std::optional<StateVersion> mVersion;
 };
 
@@ -36,8 +37,8 @@
 using AnswerCallback = std::function<void(std::error_code, std::string)>;
 using PhaseCallback = std::function<void(std::error_code, RequestPhase)>;
 
-// The lease commands of the worker protocol as the modules use them. Calls are asynchronous,
-// callbacks run on the caller's loop and never inside the call. Errors are WorkerError.
+// The calls of the worker protocol. All are asynchronous: callbacks run on the caller's loop and
+// never inside the call. Errors are of type WorkerError.
 template<typename T>
 concept WorkerApi = requires(T aApi, const SocketAddress& aWorker, const LeaseRequest& aRequest,
                              const LeaseId& aLease, const RequestId& aRequestId,
@@ -45,25 +46,27 @@
                              std::uint64_t aSince, Duration aDuration, bool aCheckpoint,
                              int aPercent)
 {
-  // Reads the state once its sequence is above aSince; no state after the wait, only its version.
+  // Long-polls the state: returns it once its sequence exceeds aSince, or only its version after
+  // aDuration.
   aApi.Poll(aWorker, aSince, aDuration, PollCallback());
-  // Reserves capacity; the same lease id again gives the same answer.
+  // Reserves capacity. Idempotent: a repeated call with the same lease id gets the same response.
   aApi.Reserve(aWorker, aRequest, LeaseCallback());
   aApi.Start(aWorker, aLease, aFence, aDuration, DoneCallback());
   aApi.Renew(aWorker, aFence, aDuration, aLeases, RenewCallback());
-  // Stops the task; the deadline bounds the time for a checkpoint.
+  // Stops the task; aDuration limits the time that it has to write a checkpoint.
   aApi.Stop(aWorker, aLease, aFence, aDuration, aCheckpoint, DoneCallback());
   aApi.Throttle(aWorker, aLease, aFence, aPercent, DoneCallback());
   aApi.Checkpoint(aWorker, aLease, aFence, DoneCallback());
   // Reads the answer of a finished task.
   aApi.FetchAnswer(aWorker, aLease, AnswerCallback());
-  // Gives capacity back or acknowledges an answer; the lease id is never accepted again.
+  // Frees the capacity or acknowledges the answer; the worker never accepts the lease id again.
   aApi.Release(aWorker, aLease, aFence, DoneCallback());
-  // Asks over a new connection what the worker knows of a service request.
+  // Reads the phase of a service request over a new connection.
   aApi.FindRequest(aWorker, aRequestId, PhaseCallback());
-  // Reads the kept answer of a service request over a new connection.
+  // Reads the stored answer of a service request over a new connection.
   aApi.FetchRequestAnswer(aWorker, aRequestId, AnswerCallback());
-  // Cancels a request, or makes the worker refuse it if it arrives later; gives the phase before.
+  // Cancels a request, or makes the worker refuse it if it arrives later. Returns the phase before
+  // the cancellation.
   aApi.DropRequest(aWorker, aRequestId, PhaseCallback());
 };
 
--- a/src/workers/WorkerError.cpp
+++ b/src/workers/WorkerError.cpp
@@ -20,7 +20,7 @@
       case WorkerError::OutcomeUnknown:
         return "outcome of the call to the worker is unknown";
       case WorkerError::Fenced:
-        return "worker has seen a newer fence";
+        return "worker has seen a higher fencing token";
       case WorkerError::NoCapacity:
         return "worker has not enough free capacity";
       case WorkerError::Tombstone:
@@ -30,7 +30,7 @@
       case WorkerError::NotFound:
         return "worker does not know the lease or request";
       case WorkerError::BadAnswer:
-        return "malformed answer of the worker";
+        return "malformed, oversized or unexpected response from the worker";
     }
     return "unknown worker error";
   }
--- a/src/workers/WorkerError.h
+++ b/src/workers/WorkerError.h
@@ -11,7 +11,7 @@
   NotSent = 1,
   // The call may or may not have taken effect.
   OutcomeUnknown,
-  // Refused: a newer planner commands this worker.
+  // Refused: the worker has seen the higher fencing token of a newer planner.
   Fenced,
   // Refused: not enough free capacity.
   NoCapacity,
@@ -21,7 +21,7 @@
   Leaving,
   // Refused: the worker doesn't know the lease or request.
   NotFound,
-  // The worker's answer was not understood.
+  // The worker's response was malformed, too large or had an unexpected status.
   BadAnswer,
 };
 
--- a/src/workers/WorkerMonitor.h
+++ b/src/workers/WorkerMonitor.h
@@ -20,36 +20,38 @@
 
 namespace lovagerock::workers {
 
-// Times and limits of the polls.
+// Delays, timeouts and limits of the polls.
 struct MonitorSettings
 {
-  // How long a worker holds a poll without news. An error that comes after it means that the poll
-  // was abandoned.
-  Duration mWait{ 2000 };
-  // Shortest time between two polls of a worker that has news; it merges bursts of changes.
-  Duration mPause{ 20 };
-  // First and longest delay after failures; the delay doubles in between.
-  Duration mFirstRetry{ 200 };
-  Duration mLongestRetry{ 2000 };
+  // How long a worker holds a poll while its state is unchanged. An error after this time means
+  // that the poll timed out, and makes the worker suspected at once.
+  Duration mPollWait{ 2000 };
+  // Delay between an answer and the next poll, so that one poll covers a burst of changes.
+  Duration mPollDelay{ 20 };
+  // Delay after the first failed poll, which doubles with each further one up to the maximum.
+  Duration mFirstRetryDelay{ 200 };
+  Duration mMaxRetryDelay{ 2000 };
   // Failed polls in a row that make a worker suspected.
   int mFailureLimit = 2;
-  // Polls without news and without a version after which the whole state is read again. A worker
-  // that restarted between two polls counts from a low sequence and would otherwise seem unchanged.
-  int mQuietLimit = 5;
-  // Wait of the first poll after another node stopped watching. Shorter than mWait, because part of
-  // the time to notice a silent worker has passed then. A worker answers this poll at once.
-  Duration mResumeWait{ 600 };
-  // How long a node polls on after another became the owner of the worker, so that others need not
-  // rely on two nodes having the same members at the same time.
-  Duration mLinger{ 3000 };
-  // Polls are in time if none was begun longer ago than this. Above mWait and the time until a poll
-  // is abandoned.
-  Duration mOverdue{ 3000 };
+  // Polls in a row that report neither a change nor a version, after which the whole state is read
+  // again. A worker that restarted between two polls has a low sequence and would otherwise seem
+  // unchanged.
+  int mUnchangedLimit = 5;
+  // Wait of the first poll after another node stopped relaying the state. Shorter than mPollWait,
+  // because part of the time for detecting an unresponsive worker has passed then. A responsive
+  // worker answers this poll at once.
+  Duration mResumePollWait{ 600 };
+  // How long a node keeps polling a worker after another node became its owner, because the nodes
+  // need not learn of a change of members at the same time.
+  Duration mHandoverOverlap{ 3000 };
+  // Other nodes may rely on this node's polls if none was started longer ago than this. Must exceed
+  // mPollWait plus kPollMargin, the time after which a poll times out.
+  Duration mMaxPollAge{ 3000 };
 };
 
-// Long-polls workers and sends one message per change of their views. With sharing, polls of a
-// worker rest while another node relays its state. Belongs to its loop. The callbacks of the API
-// must not run after the API's own end.
+// Long-polls the workers and sends a WorkerChange to the listener for each change of a worker's
+// view. With sharing, this node does not poll a worker while another node relays its state. Must be
+// used on its event loop. The API must not run callbacks after its own destruction.
 template<WorkerApi Api>
 class WorkerMonitor
 {
@@ -66,27 +68,27 @@
   {
   }
 
-  // Shares the workers with other nodes from now on.
+  // Starts to share the polling of workers with other nodes.
   void Share(WatchSharing aSharing)
   {
     mSharing = std::move(aSharing);
     Reassign();
   }
 
-  // Takes and gives up workers after the owners have changed.
+  // Updates which workers this node owns. Must be called after the owners have changed.
   void Reassign()
   {
     for (const auto& [address, entry] : mEntries) {
       if (const bool owned = Owns(address); owned != entry->mOwned) {
         entry->mOwned = owned;
         entry->mOwnerChanged = std::chrono::steady_clock::now();
-        Resume(entry);
-        Offer(*entry);
+        ResumePolls(entry);
+        Publish(*entry);
       }
     }
   }
 
-  // Whether to poll all workers, owned or not, as the planner does.
+  // Sets whether to poll all workers, even those that another node relays, as the planner does.
   void SetPollAll(bool aPollAll)
   {
     if (std::exchange(mPollAll, aPollAll) == aPollAll) {
@@ -94,56 +96,57 @@
     }
     for (const auto& [address, entry] : mEntries) {
       if (aPollAll) {
-        Resume(entry);
+        ResumePolls(entry);
       }
     }
   }
 
   bool PollsAll() const { return mPollAll; }
 
-  // Whether the view of each worker is one of this node's own polls.
+  // Returns whether each worker is suspected or its view comes from this node's own polls.
   bool AllPolled() const
   {
     return std::all_of(mEntries.begin(), mEntries.end(), [](const auto& aItem) {
-      return aItem.second->mPolled || aItem.second->mView.mSuspected;
+      return aItem.second->mHasPolledState || aItem.second->mView.mSuspected;
     });
   }
 
-  // Whether the polls of the owned workers run in time, so that others may rely on them.
+  // Returns whether the polls of the owned workers are recent enough for other nodes to rely on.
   bool IsTimely() const
   {
-    const auto limit = std::chrono::steady_clock::now() - mSettings.mOverdue;
+    const auto limit = std::chrono::steady_clock::now() - mSettings.mMaxPollAge;
     return std::all_of(mEntries.begin(), mEntries.end(), [limit](const auto& aItem) {
       const auto& entry = *aItem.second;
-      return !entry.mOwned || entry.mView.mSuspected || entry.mAsked > limit;
+      return !entry.mOwned || entry.mView.mSuspected || entry.mPollStarted > limit;
     });
   }
 
-  // Asks each worker for its state, apart from the polls that are open, and calls back when each
-  // has answered or failed. For use after a pause of this process: the views are out of date then,
-  // and so may be the answers to polls that began before it.
+  // Reads the state of each worker in addition to the open polls, and calls aDone when all have
+  // answered or failed. For use after a pause of this process: the views are out of date then, and
+  // so may be the answers to polls that began before it.
   void Recheck(std::function<void()> aDone)
   {
-    const auto open = std::make_shared<std::size_t>(mEntries.size());
-    if (*open == 0) {
+    const auto pending = std::make_shared<std::size_t>(mEntries.size());
+    if (*pending == 0) {
       aDone();
       return;
     }
     for (const auto& [address, entry] : mEntries) {
       mApi->Poll(address, 0, Duration(0),
-                 [this, open, aDone, weak = std::weak_ptr<Entry>(entry)](std::error_code aError,
-                                                                         PollAnswer aAnswer) {
+                 [this, pending, aDone, weak = std::weak_ptr<Entry>(entry)](std::error_code aError,
+                                                                            PollAnswer aAnswer) {
                    if (const auto checked = weak.lock()) {
-                     OnRechecked(checked, aError, std::move(aAnswer));
+                     OnRecheckAnswer(checked, aError, std::move(aAnswer));
                    }
-                   if (--*open == 0) {
+                   if (--*pending == 0) {
                      aDone();
                    }
                  });
     }
   }
 
-  // Takes a change that a watcher relayed.
+  // Applies a change that a watcher relayed, unless this node polls the worker or relies on another
+  // watcher.
   void OnRelayed(const NodeId& aWatcher, const RelayedChange& aChange)
   {
     const auto it = mEntries.find(aChange.mAddress);
@@ -157,23 +160,24 @@
       OnState(entry, before, aChange.mState);
       return;
     }
-    // Suspected at once. The own poll may find that only the watcher can't reach the worker.
+    // The watcher's suspicion applies at once. This node's own poll may then find that only the
+    // watcher can't reach the worker.
     entry->mView.mSuspected = aChange.mSuspected;
     ReportHealth(entry, before, "relayed");
-    Resume(entry);
+    ResumePolls(entry);
   }
 
-  // Polls again what a watcher relayed until now.
+  // Resumes the polls of the workers whose states the watcher relayed.
   void OnLapsed(const NodeId& aWatcher)
   {
     for (const auto& [address, entry] : mEntries) {
       if (entry->mWatcher == aWatcher) {
-        Resume(entry);
+        ResumePolls(entry);
       }
     }
   }
 
-  // Takes the workers of the VM list. An unlisted worker is watched until its polls fail, because
+  // Sets the workers of the VM list. An unlisted worker is watched until its polls fail, because
   // the list lags and may be wrong.
   void SetWorkers(const std::vector<ListedWorker>& aWorkers)
   {
@@ -181,7 +185,7 @@
       entry->mListed = false;
     }
     for (const auto& it : aWorkers) {
-      Apply(it);
+      AddOrUpdate(it);
     }
     std::vector<EntryPtr> unlisted;
     for (const auto& [address, entry] : mEntries) {
@@ -194,14 +198,15 @@
     }
   }
 
-  // The view of a worker; null if it isn't watched. Valid until the loop goes on.
+  // Returns the view of a worker, or null if it isn't watched. The pointer is valid until control
+  // returns to the event loop.
   const WorkerView* Find(const SocketAddress& aAddress) const
   {
     const auto it = mEntries.find(aAddress);
     return it == mEntries.end() ? nullptr : &it->second->mView;
   }
 
-  // All views, ordered by address.
+  // Returns all views, ordered by address.
   std::vector<WorkerView> Views() const
   {
     std::vector<WorkerView> views;
@@ -212,17 +217,17 @@
     return views;
   }
 
-  // Whether there are workers and each of them was heard at least once. Takes the same time for any
-  // number of workers, because it is asked on every change.
-  bool AllHeard() const { return mHeard > 0 && mHeard == mEntries.size(); }
-  // Number of workers that are watched.
+  // Returns whether there are workers and a state of each has been received. Takes constant time,
+  // because it is called on every change.
+  bool AllHeard() const { return mEntriesWithState > 0 && mEntriesWithState == mEntries.size(); }
+  // Number of workers that this node has a view of, polled or relayed.
   std::size_t Watched() const { return mEntries.size(); }
-  // Workers that this node watches for all.
+  // Number of workers that this node polls for all nodes of the region.
   std::size_t Owned() const
   {
     return CountIf([](const Entry& aEntry) { return aEntry.mOwned; });
   }
-  // Workers whose own polls rest because another node relays their state.
+  // Number of workers that this node doesn't poll because another node relays their state.
   std::size_t Relayed() const
   {
     return CountIf([](const Entry& aEntry) { return !aEntry.mWatcher.IsEmpty(); });
@@ -233,25 +238,25 @@
   {
     WorkerView mView;
     std::uint64_t mSince = 0;
-    TimePoint mAsked;
-    // How long the worker may hold the poll that is open.
-    Duration mWait{ 0 };
-    // This node watches the worker for all.
+    TimePoint mPollStarted;
+    // How long the worker may hold the latest poll.
+    Duration mPollWait{ 0 };
+    // This node polls the worker for all nodes of the region.
     bool mOwned = true;
-    // When mOwned changed last.
+    // When mOwned last changed.
     TimePoint mOwnerChanged;
-    // The view is one of an own poll since the polls began or resumed.
-    bool mPolled = false;
-    // The node that relays the state while the own polls rest; empty if they don't.
+    // A poll of this node has returned a state since it last relied on a relayed one.
+    bool mHasPolledState = false;
+    // The node that relays the state; empty while this node polls the worker itself.
     NodeId mWatcher;
     int mFailures = 0;
-    int mQuiet = 0;
+    int mUnchangedPolls = 0;
     bool mListed = true;
-    Timer mNext;
+    Timer mNextPollTimer;
   };
   using EntryPtr = std::shared_ptr<Entry>;
 
-  void Apply(const ListedWorker& aWorker)
+  void AddOrUpdate(const ListedWorker& aWorker)
   {
     auto& entry = mEntries[aWorker.mAddress];
     if (!entry) {
@@ -259,7 +264,7 @@
       entry->mView.mAddress = aWorker.mAddress;
       entry->mView.mListedLeaving = aWorker.mLeaving;
       entry->mOwned = Owns(aWorker.mAddress);
-      Ask(entry, mSettings.mWait);
+      StartPoll(entry, mSettings.mPollWait);
       return;
     }
     entry->mListed = true;
@@ -270,9 +275,9 @@
 
   void Remove(EntryPtr aEntry)
   {
-    mHeard -= aEntry->mView.mState ? 1 : 0;
+    mEntriesWithState -= aEntry->mView.mState ? 1 : 0;
     aEntry->mOwned = false;
-    Offer(*aEntry);
+    Publish(*aEntry);
     mEntries.erase(aEntry->mView.mAddress);
     LogEvent("worker_unwatched").With("address", aEntry->mView.mAddress.ToString());
     mListener.Send({ WorkerChange::Kind::Removed, aEntry->mView });
@@ -291,51 +296,52 @@
     return !mSharing.mOwns || mSharing.mOwns(aAddress);
   }
 
-  void Offer(const Entry& aEntry) const
+  void Publish(const Entry& aEntry) const
   {
-    if (mSharing.mOffer) {
+    if (mSharing.mPublish) {
       const bool suspected = aEntry.mView.mSuspected;
-      mSharing.mOffer(
+      mSharing.mPublish(
         { aEntry.mView.mAddress,
-          aEntry.mOwned && aEntry.mPolled && !suspected ? aEntry.mView.mState : nullptr,
+          aEntry.mOwned && aEntry.mHasPolledState && !suspected ? aEntry.mView.mState : nullptr,
           suspected });
     }
   }
 
-  // Begins to rest if another node relays the worker's state.
-  bool Rest(const EntryPtr& aEntry)
+  // Stops polling a worker if another node relays its state. Returns whether it stopped.
+  bool StopIfRelayed(const EntryPtr& aEntry)
   {
     const auto now = std::chrono::steady_clock::now();
-    if (mPollAll || aEntry->mOwned || !mSharing.mFind || !aEntry->mPolled ||
-        now - aEntry->mOwnerChanged < mSettings.mLinger) {
+    if (mPollAll || aEntry->mOwned || !mSharing.mFind || !aEntry->mHasPolledState ||
+        now - aEntry->mOwnerChanged < mSettings.mHandoverOverlap) {
       return false;
     }
     const auto relayed = mSharing.mFind(aEntry->mView.mAddress);
-    // Of two incarnations only the own poll knows which is the later one.
+    // If the incarnations differ, only a poll can tell which is the later one.
     if (!relayed.mState || relayed.mState->mIncarnation != aEntry->mView.mState->mIncarnation) {
       return false;
     }
-    aEntry->mPolled = false;
+    aEntry->mHasPolledState = false;
     aEntry->mWatcher = relayed.mWatcher;
     OnRelayed(relayed.mWatcher, { aEntry->mView.mAddress, relayed.mState, false });
     return true;
   }
 
-  // Ends a rest. The whole state is read, in case that a relayed one was missed.
-  void Resume(const EntryPtr& aEntry)
+  // Polls a worker again if another node relayed its state until now. Reads the whole state,
+  // because a relayed one may have been missed.
+  void ResumePolls(const EntryPtr& aEntry)
   {
     if (aEntry->mWatcher.IsEmpty()) {
       return;
     }
     aEntry->mWatcher = NodeId();
     aEntry->mSince = 0;
-    Ask(aEntry, mSettings.mResumeWait);
+    StartPoll(aEntry, mSettings.mResumePollWait);
   }
 
-  void Ask(const EntryPtr& aEntry, Duration aWait)
+  void StartPoll(const EntryPtr& aEntry, Duration aWait)
   {
-    aEntry->mAsked = std::chrono::steady_clock::now();
-    aEntry->mWait = aWait;
+    aEntry->mPollStarted = std::chrono::steady_clock::now();
+    aEntry->mPollWait = aWait;
     mApi->Poll(
       aEntry->mView.mAddress, aEntry->mSince, aWait,
       [this, weak = std::weak_ptr<Entry>(aEntry)](std::error_code aError, PollAnswer aAnswer) {
@@ -346,11 +352,11 @@
       });
   }
 
-  void AskLater(const EntryPtr& aEntry, Duration aDelay)
+  void SchedulePoll(const EntryPtr& aEntry, Duration aDelay)
   {
-    aEntry->mNext = mLoop->After(aDelay, [this, weak = std::weak_ptr<Entry>(aEntry)] {
+    aEntry->mNextPollTimer = mLoop->After(aDelay, [this, weak = std::weak_ptr<Entry>(aEntry)] {
       if (const auto entry = weak.lock()) {
-        Ask(entry, mSettings.mWait);
+        StartPoll(entry, mSettings.mPollWait);
       }
     });
   }
@@ -358,7 +364,7 @@
   void OnPolled(const EntryPtr& aEntry, std::error_code aError, PollAnswer aAnswer)
   {
     if (aError) {
-      OnFailure(aEntry, aError);
+      OnPollFailed(aEntry, aError);
       return;
     }
     const auto before = aEntry->mView.Health();
@@ -369,40 +375,41 @@
       CheckVersion(*aEntry, aAnswer.mVersion);
       ReportHealth(aEntry, before, "answered");
     } else {
-      aEntry->mQuiet = 0;
+      aEntry->mUnchangedPolls = 0;
       aEntry->mSince = aAnswer.mState->mSequence;
-      aEntry->mPolled = true;
+      aEntry->mHasPolledState = true;
       OnState(aEntry, before, std::make_shared<const WorkerState>(std::move(*aAnswer.mState)));
     }
-    Offer(*aEntry);
-    if (!Rest(aEntry)) {
-      AskLater(aEntry, mSettings.mPause);
+    Publish(*aEntry);
+    if (!StopIfRelayed(aEntry)) {
+      SchedulePoll(aEntry, mSettings.mPollDelay);
     }
   }
 
-  void OnRechecked(const EntryPtr& aEntry, std::error_code aError, PollAnswer aAnswer)
+  void OnRecheckAnswer(const EntryPtr& aEntry, std::error_code aError, PollAnswer aAnswer)
   {
     const auto before = aEntry->mView.Health();
     if (aError || !aAnswer.mState) {
       // Suspected until its next poll is answered.
       aEntry->mView.mSuspected = true;
       ReportHealth(aEntry, before, "recheck_failed");
-      Resume(aEntry);
+      ResumePolls(aEntry);
     } else {
       aEntry->mView.mSuspected = false;
       aEntry->mView.mHeard = std::chrono::steady_clock::now();
       OnState(aEntry, before, std::make_shared<const WorkerState>(std::move(*aAnswer.mState)));
     }
-    Offer(*aEntry);
+    Publish(*aEntry);
   }
 
-  // Makes the next poll read the whole state unless the unchanged state is surely the known one.
+  // Handles a poll that reported no change. Makes the next poll read the whole state if the version
+  // differs from the known one, or if mUnchangedLimit polls in a row reported no version.
   void CheckVersion(Entry& aEntry, const std::optional<StateVersion>& aVersion)
   {
     const auto& state = aEntry.mView.mState;
     const bool known = aVersion && state && state->Version() == *aVersion;
-    aEntry.mQuiet = known ? 0 : aEntry.mQuiet + 1;
-    if (!known && (aVersion || aEntry.mQuiet >= mSettings.mQuietLimit)) {
+    aEntry.mUnchangedPolls = known ? 0 : aEntry.mUnchangedPolls + 1;
+    if (!known && (aVersion || aEntry.mUnchangedPolls >= mSettings.mUnchangedLimit)) {
       aEntry.mSince = 0;
     }
   }
@@ -413,11 +420,11 @@
     const auto& old = aEntry->mView.mState;
     const bool restarted = !old || old->mIncarnation != aState->mIncarnation;
     if (!restarted && old->mSequence >= aState->mSequence) {
-      // Read again after failures or quiet polls, and unchanged.
+      // The whole state was read again, for instance after a failed poll, and has not changed.
       ReportHealth(aEntry, aBefore, "answered");
       return;
     }
-    mHeard += old ? 0 : 1;
+    mEntriesWithState += old ? 0 : 1;
     aEntry->mView.mState = std::move(aState);
     if (restarted) {
       LogEvent("worker_started")
@@ -432,15 +439,16 @@
     mListener.Send({ kind, aEntry->mView });
   }
 
-  void OnFailure(const EntryPtr& aEntry, std::error_code aError)
+  void OnPollFailed(const EntryPtr& aEntry, std::error_code aError)
   {
     const auto before = aEntry->mView.Health();
     const bool wasSuspected = aEntry->mView.mSuspected;
-    const bool abandoned = std::chrono::steady_clock::now() - aEntry->mAsked > aEntry->mWait;
+    const bool timedOut =
+      std::chrono::steady_clock::now() - aEntry->mPollStarted > aEntry->mPollWait;
     ++aEntry->mFailures;
-    // The worker may have restarted, and then counts its changes anew.
+    // The worker may have restarted with a lower sequence, so the next poll reads the whole state.
     aEntry->mSince = 0;
-    if (abandoned || aEntry->mFailures >= mSettings.mFailureLimit) {
+    if (timedOut || aEntry->mFailures >= mSettings.mFailureLimit) {
       aEntry->mView.mSuspected = true;
     }
     if (!aEntry->mListed && aEntry->mView.mSuspected) {
@@ -451,13 +459,13 @@
       LogEvent("worker_poll_failed", LogLevel::Warning)
         .With("address", aEntry->mView.mAddress.ToString())
         .With("error", aError.message())
-        .With("abandoned", abandoned);
+        .With("abandoned", timedOut);
     }
     ReportHealth(aEntry, before, "poll_failed");
-    Offer(*aEntry);
+    Publish(*aEntry);
     const int doublings = std::min(aEntry->mFailures - 1, 10);
-    AskLater(aEntry, mRandom->Jitter(std::min(mSettings.mFirstRetry * (1 << doublings),
-                                              mSettings.mLongestRetry)));
+    SchedulePoll(aEntry, mRandom->Jitter(std::min(mSettings.mFirstRetryDelay * (1 << doublings),
+                                                  mSettings.mMaxRetryDelay)));
   }
 
   void ReportHealth(const EntryPtr& aEntry, WorkerHealth aBefore, const char* aReason)
@@ -488,8 +496,8 @@
   WatchSharing mSharing;
   bool mPollAll = false;
   std::map<SocketAddress, EntryPtr> mEntries;
-  // Entries with a state.
-  std::size_t mHeard = 0;
+  // Number of entries with a state.
+  std::size_t mEntriesWithState = 0;
 };
 
 } // namespace lovagerock::workers
--- a/src/workers/WorkerState.cpp
+++ b/src/workers/WorkerState.cpp
@@ -10,12 +10,12 @@
 namespace detail {
 namespace {
 
-constexpr std::array<std::pair<LeaseKind, std::string_view>, 2> kKindNames{ {
+constexpr std::array<std::pair<LeaseKind, std::string_view>, 2> kLeaseKindNames{ {
   { LeaseKind::Job, "job" },
   { LeaseKind::Service, "service" },
 } };
 
-constexpr std::array<std::pair<LeasePhase, std::string_view>, 6> kPhaseNames{ {
+constexpr std::array<std::pair<LeasePhase, std::string_view>, 6> kLeasePhaseNames{ {
   { LeasePhase::Reserved, "reserved" },
   { LeasePhase::Running, "running" },
   { LeasePhase::Stopping, "stopping" },
@@ -26,7 +26,7 @@
 
 template<typename Table, typename Value>
 std::string_view
-NameOf(const Table& aTable, Value aValue)
+EnumName(const Table& aTable, Value aValue)
 {
   const auto* it = std::find_if(aTable.begin(), aTable.end(),
                                 [aValue](const auto& aItem) { return aItem.first == aValue; });
@@ -35,7 +35,7 @@
 
 template<typename Table, typename Value>
 void
-ReadName(const Table& aTable, const Json& aJson, Value& aValue)
+ReadEnum(const Table& aTable, const Json& aJson, Value& aValue)
 {
   const auto& name = aJson.get_ref<const std::string&>();
   const auto* it = std::find_if(aTable.begin(), aTable.end(),
@@ -53,7 +53,7 @@
   aId = StrongId<Tag>(aJson.at(aKey).get<std::string>());
 }
 
-// A member that may be absent, but has the right type if it is present.
+// Reads a member that may be absent. Throws if it is present with the wrong type.
 template<typename T>
 void
 ReadOptional(const Json& aJson, const char* aKey, T& aValue)
@@ -72,7 +72,7 @@
 // The members that a lease request and a lease state share.
 template<typename Lease>
 Json
-WriteCommon(const Lease& aLease)
+WriteSharedMembers(const Lease& aLease)
 {
   return { { "lease", aLease.mLease.Value() },
            { "kind", LeaseKindName(aLease.mKind) },
@@ -90,9 +90,9 @@
 
 template<typename Lease>
 void
-ReadCommon(const Json& aJson, Lease& aLease)
+ReadSharedMembers(const Json& aJson, Lease& aLease)
 {
-  ReadName(kKindNames, aJson.at("kind"), aLease.mKind);
+  ReadEnum(kLeaseKindNames, aJson.at("kind"), aLease.mKind);
   aLease.mResources = aJson.at("resources").get<Resources>();
   aJson.at("reclaimable").get_to(aLease.mReclaimable);
   aJson.at("idempotent").get_to(aLease.mIdempotent);
@@ -119,8 +119,8 @@
 {
   LeaseState state;
   ReadId(aJson, "lease", state.mLease);
-  ReadCommon(aJson, state);
-  ReadName(kPhaseNames, aJson.at("phase"), state.mPhase);
+  ReadSharedMembers(aJson, state);
+  ReadEnum(kLeasePhaseNames, aJson.at("phase"), state.mPhase);
   state.mExpiresIn = ReadMilliseconds(aJson, "expires_in_ms");
   ReadOptional(aJson, "error", state.mError);
   return state;
@@ -151,7 +151,7 @@
   return state;
 }
 
-// Runs a parser that throws on a missing or mistyped member.
+// Runs a parser that throws on a missing or mistyped member; returns nullopt if it throws.
 template<typename Parser>
 auto
 TryParse(Parser aParser) -> std::optional<decltype(aParser())>
@@ -169,13 +169,13 @@
 std::string_view
 LeaseKindName(LeaseKind aKind)
 {
-  return detail::NameOf(detail::kKindNames, aKind);
+  return detail::EnumName(detail::kLeaseKindNames, aKind);
 }
 
 std::string_view
 LeasePhaseName(LeasePhase aPhase)
 {
-  return detail::NameOf(detail::kPhaseNames, aPhase);
+  return detail::EnumName(detail::kLeasePhaseNames, aPhase);
 }
 
 void
@@ -187,7 +187,7 @@
 void
 to_json(Json& aJson, const LeaseRequest& aRequest)
 {
-  aJson = detail::WriteCommon(aRequest);
+  aJson = detail::WriteSharedMembers(aRequest);
   aJson["fence"] = aRequest.mFence;
   aJson["ttl_ms"] = aRequest.mTtl.count();
   aJson["payload"] = aRequest.mPayload;
@@ -196,7 +196,7 @@
 void
 to_json(Json& aJson, const LeaseState& aState)
 {
-  aJson = detail::WriteCommon(aState);
+  aJson = detail::WriteSharedMembers(aState);
   aJson["phase"] = LeasePhaseName(aState.mPhase);
   aJson["expires_in_ms"] = aState.mExpiresIn.count();
   aJson["error"] = aState.mError;
@@ -234,7 +234,7 @@
   return detail::TryParse([&] {
     LeaseRequest request;
     request.mLease = aLease;
-    detail::ReadCommon(aJson, request);
+    detail::ReadSharedMembers(aJson, request);
     request.mFence = detail::ParseFence(aJson.at("fence"));
     request.mTtl = detail::ReadMilliseconds(aJson, "ttl_ms");
     detail::ReadOptional(aJson, "payload", request.mPayload);
--- a/src/workers/WorkerState.h
+++ b/src/workers/WorkerState.h
@@ -24,7 +24,7 @@
   auto operator<=>(const Fence&) const = default; // NOLINT(modernize-use-nullptr)
 };
 
-// What a lease is for.
+// The kind of work that a lease holds capacity for.
 enum class LeaseKind
 {
   // One task of a job.
@@ -33,19 +33,19 @@
   Service,
 };
 
-// Where a lease stands.
+// Phase of a lease and its task.
 enum class LeasePhase
 {
-  // Capacity is held and nothing runs.
+  // Capacity is reserved and no task runs.
   Reserved,
   Running,
-  // Asked to stop; ends at its deadline at the latest.
+  // The task was told to stop and ends at its deadline at the latest.
   Stopping,
-  // The task ended and its answer is kept.
+  // The task succeeded and the worker stores its answer.
   Finished,
   // The task ended with an error of its own.
   Failed,
-  // Stopped by command or because the lease lapsed.
+  // Stopped by command or because the lease expired.
   Stopped,
 };
 
@@ -92,7 +92,7 @@
   std::string mError;
 };
 
-// Names one state of a worker.
+// Identifies one state of a worker.
 struct StateVersion
 {
   std::string mIncarnation;
@@ -101,7 +101,7 @@
   bool operator==(const StateVersion&) const = default;
 };
 
-// A worker's own report of itself.
+// The state of a worker as it reports it.
 struct WorkerState
 {
   WorkerId mWorker;
@@ -110,14 +110,14 @@
   RackId mRack;
   // Differs after each restart of the worker.
   std::string mIncarnation;
-  // Grows with each change of the state.
+  // Grows with each change of the state; starts anew after a restart.
   std::uint64_t mSequence = 0;
   bool mLeaving = false;
   Resources mCapacity;
   // Connections that the worker accepts at once.
   int mConnections = 0;
   Fence mFence;
-  // Accelerators that were busy mUsageLag ago.
+  // Accelerators that were busy mUsageLag before the report.
   Accelerators mBusyAccelerators;
   Duration mUsageLag{ 0 };
   std::vector<LeaseState> mLeases;
@@ -125,14 +125,14 @@
   StateVersion Version() const { return { mIncarnation, mSequence }; }
 };
 
-// Names on the wire, as in docs/design.md.
+// Names in the worker protocol, as in docs/design.md.
 std::string_view
 LeaseKindName(LeaseKind aKind);
 std::string_view
 LeasePhaseName(LeasePhase aPhase);
 
-// Conversions to and from the worker protocol's JSON. Reading gives nothing if a required member
-// is missing or has the wrong type.
+// Conversions to and from the worker protocol's JSON. The Read functions return nullopt if a
+// required member is missing or has the wrong type.
 void
 to_json(Json& aJson, const Fence& aFence);
 void
@@ -150,8 +150,8 @@
 std::optional<WorkerState>
 ReadWorkerState(const Json& aJson);
 
-// Conversions to and from the entity tag of an answer without a state. Reading gives nothing if the
-// tag is missing or malformed.
+// Conversions to and from the entity tag (ETag header) of a response without a state.
+// ReadStateTag() returns nullopt if the tag is missing or malformed.
 std::string
 WriteStateTag(const StateVersion& aVersion);
 std::optional<StateVersion>
--- a/src/workers/WorkerView.h
+++ b/src/workers/WorkerView.h
@@ -11,9 +11,9 @@
 enum class WorkerHealth
 {
   Live,
-  // Not heard yet, or its polls fail. It gets no new work; its leases live until their TTL.
+  // No answer yet, or its polls fail. It gets no new work; its leases run until their TTL ends.
   Suspected,
-  // The worker or the VM list says that it leaves.
+  // The worker itself or the VM list reports that it is leaving.
   Leaving,
 };
 
@@ -21,9 +21,9 @@
 struct WorkerView
 {
   SocketAddress mAddress;
-  // The latest state; null until the worker was heard.
+  // The latest state; null until the first one was received.
   std::shared_ptr<const WorkerState> mState;
-  // When the worker answered last.
+  // When this node last received an answer of the worker or a relayed change of its state.
   TimePoint mHeard;
   // Polls fail, so the state may be outdated.
   bool mSuspected = true;
@@ -48,7 +48,7 @@
     State,
     // The first state, or the first one after a restart: earlier leases and requests are gone.
     Restarted,
-    // A new health with the old state.
+    // A new health with an unchanged state.
     Health,
     // The worker is no longer watched.
     Removed,
@@ -58,7 +58,7 @@
   WorkerView mView;
 };
 
-// A worker as the VM list names it.
+// A worker's entry in the VM list.
 struct ListedWorker
 {
   SocketAddress mAddress;
--- a/tests/workers/SharingTests.cpp
+++ b/tests/workers/SharingTests.cpp
@@ -27,7 +27,7 @@
            { { kWorker, std::make_shared<const WorkerState>(state), false } } };
 }
 
-// A table that counts on the watcher until 1 s after the start, with batch 1.
+// A table in which the watcher is valid until 1 s after mStart and batch 1 is applied.
 struct TableFixture
 {
   TimePoint mStart{ Duration(100000) };
@@ -35,10 +35,10 @@
 
   TableFixture()
   {
-    cr_assert(mTable.Assure(kWatcher, 1, 1, mStart));
-    cr_assert(mTable.Replace(Batch(1, 5)));
+    cr_assert(mTable.Confirm(kWatcher, 1, 1, mStart));
+    cr_assert(mTable.ApplySnapshot(Batch(1, 5)));
   }
-  // The sequence of the state that is relayed; 0 if none counts.
+  // Returns the sequence of the relayed state, or 0 if no valid watcher relays one.
   std::uint64_t Relayed(Duration aAfter)
   {
     const auto state = mTable.Find(kWorker, mStart + aAfter).mState;
@@ -46,7 +46,7 @@
   }
 };
 
-// Two nodes that poll one worker with short times. The first owns it.
+// A node that shares the polling of workers, with a short poll wait and no handover overlap.
 struct SharingNode
 {
   using Relay = StateRelay<peer::NghttpTransport>;
@@ -66,7 +66,7 @@
     , mMailbox(aLoop, [](const WorkerChange&) {})
     , mApi(aClient)
     , mMonitor(aLoop, mApi, aRandom, mMailbox.GetAddress(),
-               { .mWait = Duration(100), .mLinger = Duration(0) })
+               { .mPollWait = Duration(100), .mHandoverOverlap = Duration(0) })
     , mRelay(std::make_unique<Relay>(
         aLoop, mTransport, NodeId(aNode), 1,
         Relay::Hooks{ [this] { return mPeers; }, [this] { return mMonitor.IsTimely(); },
@@ -82,11 +82,12 @@
   }
 };
 
-struct SharingFixture : Fixture
+// Two nodes that share the polling of one worker. The first owns it.
+struct SharingFixture : WorkerFixture
 {
   SharingNode mFirst{ mLoop, mRandom, mClient, "a", true };
   SharingNode mSecond{ mLoop, mRandom, mClient, "b", false };
-  // Stands for the heartbeats from the second node to the first.
+  // Simulates the heartbeats from the second node to the first.
   Timer mHeartbeats = mLoop.Every(Duration(100), [this] {
     mSecond.mRelay->ReadPayload(kWatcher, 1, mFirst.mTransport.Address(),
                                 mFirst.mRelay->WritePayload(), std::chrono::steady_clock::now());
@@ -97,10 +98,10 @@
     mFirst.mPeers = { mSecond.mTransport.Address() };
     mFirst.mMonitor.SetWorkers({ { mAddress, false } });
     mSecond.mMonitor.SetWorkers({ { mAddress, false } });
-    WaitUntil([&] { return IsResting(); });
+    WaitUntil([&] { return ArePollsStopped(); });
   }
-  // The second node's view is not one of its own polls only while these rest.
-  bool IsResting() const { return !mSecond.mMonitor.AllPolled(); }
+  // The second node's view comes from the first node only while the second does not poll.
+  bool ArePollsStopped() const { return !mSecond.mMonitor.AllPolled(); }
   WorkerHealth Health() const { return mSecond.mMonitor.Find(mAddress)->Health(); }
   void WaitUntil(const std::function<bool()>& aCondition)
   {
@@ -115,50 +116,52 @@
 
 } // namespace
 
-// Guards against a lost batch that leaves an outdated state in place.
-Test(RelayTable, stops_counting_on_a_watcher_after_a_lost_batch)
+// Guards against an outdated state that stays in use after a batch was lost.
+Test(RelayTable, invalidates_a_watcher_after_a_lost_batch)
 {
   TableFixture f;
   cr_assert_eq(f.Relayed(Duration(1)), 5U);
-  cr_assert(f.mTable.Take(Batch(3, 7)) == RelayTable::Result::Gap);
+  cr_assert(f.mTable.ApplyBatch(Batch(3, 7)) == RelayTable::Result::Gap);
   cr_assert_eq(f.Relayed(Duration(1)), 0U);
-  cr_assert_eq(f.mTable.TakeLapsed(f.mStart).size(), 1U);
-  // The whole state makes it count again.
-  cr_assert(f.mTable.Assure(kWatcher, 1, 3, f.mStart));
-  cr_assert(f.mTable.Replace(Batch(3, 7)));
+  cr_assert_eq(f.mTable.TakeInvalidated(f.mStart).size(), 1U);
+  // A snapshot makes the watcher valid again.
+  cr_assert(f.mTable.Confirm(kWatcher, 1, 3, f.mStart));
+  cr_assert(f.mTable.ApplySnapshot(Batch(3, 7)));
   cr_assert_eq(f.Relayed(Duration(1)), 7U);
 }
 
-// Guards against a lost last batch, which no later one shows.
-Test(RelayTable, does_not_extend_on_an_assurance_of_a_missing_batch)
+// Guards against the undetected loss of the last batch, which no later batch reveals.
+Test(RelayTable, does_not_extend_the_validity_while_a_confirmed_batch_is_missing)
 {
   TableFixture f;
   cr_assert_eq(f.Relayed(Duration(999)), 5U);
-  cr_assert_not(f.mTable.Assure(kWatcher, 1, 2, f.mStart + Duration(900)));
+  cr_assert_not(f.mTable.Confirm(kWatcher, 1, 2, f.mStart + Duration(900)));
   cr_assert_eq(f.Relayed(Duration(1000)), 0U);
-  // Whoever relied on it hears that once.
-  cr_assert_eq(f.mTable.TakeLapsed(f.mStart + Duration(1000)).size(), 1U);
-  cr_assert(f.mTable.TakeLapsed(f.mStart + Duration(1001)).empty());
-  cr_assert(f.mTable.Assure(kWatcher, 1, 2, f.mStart + Duration(1800)));
+  // The watcher is reported as invalidated once.
+  cr_assert_eq(f.mTable.TakeInvalidated(f.mStart + Duration(1000)).size(), 1U);
+  cr_assert(f.mTable.TakeInvalidated(f.mStart + Duration(1001)).empty());
+  cr_assert(f.mTable.Confirm(kWatcher, 1, 2, f.mStart + Duration(1800)));
 }
 
-// Guards against a stale batch, whole state or assurance that replaces or revives something newer.
-Test(RelayTable, ignores_what_is_stale)
+// Guards against a stale batch, snapshot or confirmation that replaces a newer state or makes an
+// older incarnation of the watcher valid again.
+Test(RelayTable, ignores_stale_batches_snapshots_and_confirmations)
 {
   TableFixture f;
-  cr_assert(f.mTable.Take(Batch(2, 6)) == RelayTable::Result::Applied);
-  cr_assert(f.mTable.Take(Batch(1, 5)) == RelayTable::Result::Ignored);
-  cr_assert_not(f.mTable.Replace(Batch(1, 5)));
-  cr_assert_not(f.mTable.Assure(kWatcher, 1, 1, f.mStart - Duration(500)));
+  cr_assert(f.mTable.ApplyBatch(Batch(2, 6)) == RelayTable::Result::Applied);
+  cr_assert(f.mTable.ApplyBatch(Batch(1, 5)) == RelayTable::Result::Ignored);
+  cr_assert_not(f.mTable.ApplySnapshot(Batch(1, 5)));
+  cr_assert_not(f.mTable.Confirm(kWatcher, 1, 1, f.mStart - Duration(500)));
   cr_assert_eq(f.Relayed(Duration(900)), 6U);
-  cr_assert(f.mTable.Assure(kWatcher, 2, 0, f.mStart + Duration(10)));
-  cr_assert(f.mTable.Take(Batch(3, 7)) == RelayTable::Result::Ignored);
-  cr_assert_not(f.mTable.Assure(kWatcher, 1, 3, f.mStart + Duration(20)));
+  cr_assert(f.mTable.Confirm(kWatcher, 2, 0, f.mStart + Duration(10)));
+  cr_assert(f.mTable.ApplyBatch(Batch(3, 7)) == RelayTable::Result::Ignored);
+  cr_assert_not(f.mTable.Confirm(kWatcher, 1, 3, f.mStart + Duration(20)));
   cr_assert_eq(f.Relayed(Duration(21)), 0U);
 }
 
-// Guards against a batch that loses its content on the wire, or a malformed one that is taken.
-Test(RelayTable, batches_survive_the_wire)
+// Guards against a batch that loses content in serialization, and against a malformed one that is
+// accepted.
+Test(RelayTable, batches_round_trip_through_json)
 {
   auto batch = Batch(4, 9);
   batch.mChanges.push_back({ SocketAddress("127.0.0.1", 10), nullptr, true });
@@ -171,7 +174,7 @@
   cr_assert_not(ReadRelayBatch(json));
 }
 
-// Guards against news of a worker that reach its watcher alone.
+// Guards against a state change of a worker that is not relayed to the other nodes.
 Test(Sharing, relays_a_leaving_worker_to_a_node_that_does_not_poll)
 {
   SharingFixture f;
@@ -181,20 +184,21 @@
   cr_assert_eq(f.mSecond.mApi.mSince.size(), polls);
 }
 
-// Guards against a silent worker that only its watcher suspects, and one that stays suspected.
-Test(Sharing, relays_a_silent_worker_and_its_return)
+// Guards against an unresponsive worker that only its watcher suspects, and against one that stays
+// suspected after it responds again.
+Test(Sharing, relays_an_unresponsive_worker_and_its_recovery)
 {
   SharingFixture f;
   f.Post(R"({"freeze":true})");
   f.WaitUntil([&] { return f.Health() == WorkerHealth::Suspected; });
   f.Post(R"({"freeze":false})");
   f.WaitUntil([&] { return f.Health() == WorkerHealth::Live; });
-  f.WaitUntil([&] { return f.IsResting(); });
+  f.WaitUntil([&] { return f.ArePollsStopped(); });
 }
 
-// Guards against workers that nobody watches after their watcher died or was paused, and against a
-// lost relay after which a node keeps an outdated view.
-Test(Sharing, polls_itself_without_heartbeats_or_after_a_lost_relay)
+// Guards against workers that no node polls after their watcher failed or was paused, and against
+// an outdated view after a lost batch.
+Test(Sharing, resumes_polling_without_heartbeats_or_after_a_lost_batch)
 {
   for (const bool lost : { false, true }) {
     SharingFixture f;
@@ -204,12 +208,13 @@
     }
     f.mWorker->SetLeaving();
     f.WaitUntil([&] { return f.Health() == WorkerHealth::Leaving; });
-    f.WaitUntil([&] { return f.IsResting() == lost; });
+    f.WaitUntil([&] { return f.ArePollsStopped() == lost; });
   }
 }
 
-// Guards against two owners, or none, that leave a worker unwatched while the members differ.
-Test(Sharing, watches_through_changes_of_the_owner)
+// Guards against a worker that no node polls while two nodes, or none, take themselves for its
+// owner because their member lists differ.
+Test(Sharing, keeps_watching_through_changes_of_the_owner)
 {
   SharingFixture f;
   f.mSecond.mOwns = true;
@@ -217,24 +222,25 @@
   f.WaitUntil([&] { return f.mSecond.mMonitor.AllPolled(); });
   f.mSecond.mOwns = false;
   f.mSecond.mMonitor.Reassign();
-  f.WaitUntil([&] { return f.IsResting(); });
-  // A planner polls all.
+  f.WaitUntil([&] { return f.ArePollsStopped(); });
+  // The planner polls all workers.
   f.mSecond.mMonitor.SetPollAll(true);
   f.WaitUntil([&] { return f.mSecond.mMonitor.AllPolled(); });
   f.mSecond.mMonitor.SetPollAll(false);
-  f.WaitUntil([&] { return f.IsResting(); });
+  f.WaitUntil([&] { return f.ArePollsStopped(); });
   f.mFirst.mOwns = false;
   f.mFirst.mMonitor.Reassign();
   f.WaitUntil([&] { return f.mSecond.mMonitor.AllPolled(); });
 }
 
-// Guards against a restart that a relayed state of the same sequence hides.
+// Guards against a restart that goes unnoticed because the relayed state has the same sequence.
 Test(Sharing, relays_a_restart)
 {
   SharingFixture f;
   f.mWorker.reset();
   f.StartWorker("two");
   f.WaitUntil([&] {
-    return f.mSecond.mMonitor.Find(f.mAddress)->mState->mIncarnation == "two" && f.IsResting();
+    return f.mSecond.mMonitor.Find(f.mAddress)->mState->mIncarnation == "two" &&
+           f.ArePollsStopped();
   });
 }
--- a/tests/workers/WorkerFixture.h
+++ b/tests/workers/WorkerFixture.h
@@ -15,8 +15,8 @@
 
 namespace lovagerock::workers {
 
-// A stand-in worker, a client and a monitor on one loop.
-struct Fixture
+// A simulated worker, a client and a monitor on one loop.
+struct WorkerFixture
 {
   EventLoop mLoop;
   Random mRandom{ 7 };
@@ -28,17 +28,17 @@
   SocketAddress mAddress = testing::LocalAddress();
   Fence mFence{ 1, NodeId("n") };
   std::vector<WorkerChange> mChanges;
-  std::function<bool()> mUntil;
+  std::function<bool()> mStopCondition;
   Mailbox<WorkerChange> mMailbox{ mLoop, [this](WorkerChange aChange) {
                                    mChanges.push_back(std::move(aChange));
-                                   if (mUntil && mUntil()) {
+                                   if (mStopCondition && mStopCondition()) {
                                      mLoop.Stop();
                                    }
                                  } };
   WorkerMonitor<HttpWorkerApi> mMonitor{ mLoop, mApi, mRandom, mMailbox.GetAddress() };
   Timer mLimit = mLoop.After(Duration(60000), [] { cr_assert_fail("test did not finish"); });
 
-  Fixture() { StartWorker("first"); }
+  WorkerFixture() { StartWorker("first"); }
 
   void StartWorker(const char* aIncarnation)
   {
@@ -52,7 +52,7 @@
   }
   void Wait(std::function<bool()> aUntil)
   {
-    mUntil = std::move(aUntil);
+    mStopCondition = std::move(aUntil);
     mLoop.Run();
   }
   LeaseRequest Lease(const char* aId) const
@@ -90,13 +90,14 @@
   }
 };
 
-// Notes what the monitor asks, and may replace the versions that quiet polls name.
+// Records the aSince arguments of the monitor's polls. mModifyAnswer may replace the version in an
+// answer that reports no change.
 struct RecordingApi : HttpWorkerApi
 {
   using HttpWorkerApi::HttpWorkerApi;
 
   std::vector<std::uint64_t> mSince;
-  std::function<void(PollAnswer&)> mChange;
+  std::function<void(PollAnswer&)> mModifyAnswer;
 
   void
   Poll(const SocketAddress& aWorker, std::uint64_t aSince, Duration aWait, PollCallback aCallback)
@@ -105,13 +106,13 @@
     HttpWorkerApi::Poll(
       aWorker, aSince, aWait,
       [this, callback = std::move(aCallback)](std::error_code aError, PollAnswer aAnswer) {
-        if (mChange && !aAnswer.mState) {
-          mChange(aAnswer);
+        if (mModifyAnswer && !aAnswer.mState) {
+          mModifyAnswer(aAnswer);
         }
         callback(aError, std::move(aAnswer));
       });
   }
-  long WholeReads() const { return std::count(mSince.begin(), mSince.end(), 0U); }
+  long FullReads() const { return std::count(mSince.begin(), mSince.end(), 0U); }
 };
 
 } // namespace lovagerock::workers
--- a/tests/workers/WorkerTests.cpp
+++ b/tests/workers/WorkerTests.cpp
@@ -7,20 +7,22 @@
 
 namespace {
 
-// A monitor with short polls of the fixture's worker, which has a sequence above 0.
-struct QuietFixture : Fixture
+// A monitor with short polls of the fixture's worker, whose state does not change and has a
+// sequence above 0.
+struct ShortPollFixture : WorkerFixture
 {
   RecordingApi mRecording{ mClient };
-  WorkerMonitor<RecordingApi> mQuietMonitor{ mLoop,
-                                             mRecording,
-                                             mRandom,
-                                             mMailbox.GetAddress(),
-                                             { .mWait = Duration(10), .mPause = Duration(1) } };
-
-  // Runs until the number of polls was sent.
-  void Poll(std::size_t aPolls)
+  WorkerMonitor<RecordingApi> mShortPollMonitor{ mLoop,
+                                                 mRecording,
+                                                 mRandom,
+                                                 mMailbox.GetAddress(),
+                                                 { .mPollWait = Duration(10),
+                                                   .mPollDelay = Duration(1) } };
+
+  // Runs the loop until the monitor has sent aPolls polls.
+  void RunPolls(std::size_t aPolls)
   {
-    mQuietMonitor.SetWorkers({ { mAddress, false } });
+    mShortPollMonitor.SetWorkers({ { mAddress, false } });
     const auto timer = mLoop.Every(Duration(1), [&] {
       if (mRecording.mSince.size() >= aPolls) {
         mLoop.Stop();
@@ -32,8 +34,9 @@
 
 } // namespace
 
-// Guards against a version that another one is taken for, or that a broken tag makes up.
-Test(WorkerState, reads_only_whole_tags)
+// Guards against a version that is confused with another, and against one read from a malformed
+// tag.
+Test(WorkerState, reads_only_well_formed_state_tags)
 {
   const StateVersion version{ "a.b", 7 };
   cr_assert(ReadStateTag(WriteStateTag(version)) == version);
@@ -42,36 +45,36 @@
   }
 }
 
-// Guards against quiet polls that read the whole state again and again.
-Test(WorkerMonitor, reads_a_quiet_worker_once)
+// Guards against polls that read the whole state repeatedly although it has not changed.
+Test(WorkerMonitor, reads_an_unchanged_state_once)
 {
-  QuietFixture f;
-  f.Poll(20);
-  cr_assert_eq(f.mRecording.WholeReads(), 1);
+  ShortPollFixture f;
+  f.RunPolls(20);
+  cr_assert_eq(f.mRecording.FullReads(), 1);
 }
 
-// Guards against a restarted worker that goes unnoticed because its polls are quiet.
-Test(WorkerMonitor, reads_the_state_again_if_a_quiet_poll_names_another)
+// Guards against a restart that goes unnoticed because the polls report no change.
+Test(WorkerMonitor, reads_the_state_again_if_an_unchanged_poll_has_another_version)
 {
   for (const auto& other : { StateVersion{ "second", 1 }, StateVersion{ "first", 0 } }) {
-    QuietFixture f;
-    f.mRecording.mChange = [&](PollAnswer& aAnswer) { aAnswer.mVersion = other; };
-    f.Poll(3);
+    ShortPollFixture f;
+    f.mRecording.mModifyAnswer = [&](PollAnswer& aAnswer) { aAnswer.mVersion = other; };
+    f.RunPolls(3);
     const std::vector<std::uint64_t> expected{ 0, 1, 0 };
     cr_assert(f.mRecording.mSince == expected);
   }
 }
 
-// Guards against a restart that is never noticed at a worker that names no version.
-Test(WorkerMonitor, reads_the_state_again_after_quiet_polls_without_a_version)
+// Guards against a restart that is never noticed if the worker reports no version.
+Test(WorkerMonitor, reads_the_state_again_after_unchanged_polls_without_a_version)
 {
-  QuietFixture f;
-  f.mRecording.mChange = [](PollAnswer& aAnswer) { aAnswer.mVersion.reset(); };
-  f.Poll(20);
-  cr_assert_gt(f.mRecording.WholeReads(), 1);
+  ShortPollFixture f;
+  f.mRecording.mModifyAnswer = [](PollAnswer& aAnswer) { aAnswer.mVersion.reset(); };
+  f.RunPolls(20);
+  cr_assert_gt(f.mRecording.FullReads(), 1);
 }
 
-Test(WorkerState, survives_the_wire)
+Test(WorkerState, round_trips_through_json)
 {
   WorkerState state;
   state.mWorker = WorkerId("w");
@@ -88,7 +91,7 @@
 
 Test(HttpWorkerApi, runs_a_task_and_reads_its_answer)
 {
-  Fixture f;
+  WorkerFixture f;
   cr_assert_not(f.Reserve(f.Lease("a")));
   std::string result;
   f.mApi.Start(f.mAddress, LeaseId("a"), f.mFence, Duration(5000), [&](std::error_code aError) {
@@ -102,10 +105,10 @@
   cr_assert_eq(result, std::string("42"));
 }
 
-// Guards against taking one refusal for another: the reactions differ.
-Test(HttpWorkerApi, tells_refusals_and_unsent_calls_apart)
+// Guards against one refusal reported as another: callers react differently to each.
+Test(HttpWorkerApi, distinguishes_refusals_and_unsent_calls)
 {
-  Fixture f;
+  WorkerFixture f;
   cr_assert_not(f.Reserve(f.Lease("a")));
   cr_assert_eq(f.Reserve(f.Lease("b")), make_error_code(WorkerError::NoCapacity));
   f.mFence.mEpoch = 0;
@@ -114,10 +117,11 @@
   cr_assert_eq(f.Reserve(f.Lease("d")), make_error_code(WorkerError::NotSent));
 }
 
-// Guards against a retry elsewhere of a command that took effect.
-Test(HttpWorkerApi, calls_the_outcome_unknown_when_the_answer_is_lost)
+// Guards against a command that took effect and is retried on another worker because its response
+// was lost.
+Test(HttpWorkerApi, reports_an_unknown_outcome_when_the_response_is_lost)
 {
-  Fixture f;
+  WorkerFixture f;
   f.Post(R"({"lose_answers":1})");
   const auto delay = f.mLoop.After(Duration(50), [&] { f.mLoop.Stop(); });
   f.mLoop.Run();
@@ -126,10 +130,10 @@
 }
 
 // Guards against work for a worker whose view is from before a pause of this process. The polls
-// that were open then tell nothing of the worker's change.
-Test(WorkerMonitor, learns_of_a_change_from_a_recheck)
+// that were open then don't report what changed during the pause.
+Test(WorkerMonitor, detects_a_change_with_a_recheck)
 {
-  Fixture f;
+  WorkerFixture f;
   f.mMonitor.SetWorkers({ { f.mAddress, false } });
   f.Wait([&] { return f.HasHealth(WorkerHealth::Live); });
   // The open poll fails with its connection, and the next one comes later than the recheck.
@@ -145,11 +149,11 @@
   f.Wait(nullptr);
 }
 
-// Guards against work that waits for ever for a worker which can't be asked, and against work for
-// it.
+// Guards against work that waits forever for the recheck of a worker that does not respond, and
+// against new work for that worker.
 Test(WorkerMonitor, suspects_a_worker_that_does_not_answer_a_recheck)
 {
-  Fixture f;
+  WorkerFixture f;
   f.mMonitor.SetWorkers({ { f.mAddress, false } });
   f.Wait([&] { return f.mMonitor.AllHeard(); });
   f.mWorker.reset();
@@ -158,10 +162,10 @@
   f.Wait([&] { return suspected; });
 }
 
-// Guards against new work for an endpoint that is leaving.
+// Guards against new work for a leaving worker, reported by the worker itself or by the VM list.
 Test(WorkerMonitor, reports_a_leaving_worker_from_either_source)
 {
-  Fixture f;
+  WorkerFixture f;
   f.mMonitor.SetWorkers({ { f.mAddress, false } });
   f.Wait([&] { return f.HasHealth(WorkerHealth::Live); });
   f.mMonitor.SetWorkers({ { f.mAddress, true } });
@@ -172,10 +176,10 @@
   f.Wait([&] { return f.HasHealth(WorkerHealth::Leaving); });
 }
 
-// Guards against a restarted worker whose low sequence hides its state for ever.
+// Guards against a restart that is never noticed because the worker's new sequence is low.
 Test(WorkerMonitor, notices_a_restart)
 {
-  Fixture f;
+  WorkerFixture f;
   f.mMonitor.SetWorkers({ { f.mAddress, false } });
   f.Wait([&] { return f.HasHealth(WorkerHealth::Live); });
   f.mWorker.reset();
@@ -188,9 +192,9 @@
 }
 
 // Guards against new work for a worker that accepts connections and never answers.
-Test(WorkerMonitor, suspects_a_silent_worker_until_it_answers)
+Test(WorkerMonitor, suspects_an_unresponsive_worker_until_it_answers)
 {
-  Fixture f;
+  WorkerFixture f;
   f.mMonitor.SetWorkers({ { f.mAddress, false } });
   f.Wait([&] { return f.HasHealth(WorkerHealth::Live); });
   f.Post(R"({"freeze":true})");
@@ -199,11 +203,11 @@
   f.Wait([&] { return f.HasHealth(WorkerHealth::Live); });
 }
 
-// Guards against a count of heard workers that counts a restart twice or keeps a removed worker:
-// the planner would then take the cluster for complete too early, or never.
-Test(WorkerMonitor, counts_each_watched_worker_once_as_heard)
+// Guards against a count of workers with a state that counts a restart twice or keeps a removed
+// worker: the planner would then treat the cluster as complete too early, or never.
+Test(WorkerMonitor, counts_each_watched_worker_with_a_state_once)
 {
-  Fixture f;
+  WorkerFixture f;
   cr_assert_not(f.mMonitor.AllHeard());
   const SocketAddress silent("127.0.0.1", 1);
   f.mMonitor.SetWorkers({ { f.mAddress, false }, { silent, false } });
