--- a/src/jobs/AnswerStore.h
+++ b/src/jobs/AnswerStore.h
@@ -13,23 +13,23 @@
 
 namespace lovagerock::jobs {
 
-// Answers are stored in pieces of this size, well below the largest value the store takes.
+// Answers are split into pieces of at most this size, well below the largest value that the
+// key-value store accepts.
 inline constexpr Bytes kPieceSize{ 512 * 1024 };
-// The largest answer of one task.
+// The largest answer that one task may give.
 inline constexpr Bytes kMaxAnswer{ 16 * 1024 * 1024 };
 
-// Pieces of several answers are written in one transaction up to this size, which is that of the
-// largest piece.
+// The largest total size of the pieces in one transaction. It must not be smaller than a piece.
 inline constexpr Bytes kMaxAnswerBatch = kPieceSize;
 
-// The whole answer of one task.
+// The complete answer of one task.
 struct TaskAnswer
 {
   int mTask = 0;
   std::string mAnswer;
 };
 
-// Stores the answers of tasks in pieces in the key-value service. An answer is written under its
+// Stores the answers of tasks in the key-value service, split into pieces. The keys contain the
 // attempt, so that pieces of two attempts never mix.
 template<kv::KeyValueStore Store>
 class AnswerStore
@@ -44,8 +44,8 @@
   {
   }
 
-  // Writes whole answers of one attempt, in as few transactions as their number and size allow. On
-  // an error some may be written. Writing the same answers again has no further effect.
+  // Writes complete answers of one attempt, in as few transactions as their number and size allow.
+  // On an error some pieces may already be stored. The operation is idempotent.
   void
   Write(const JobId& aJob, int aAttempt, std::vector<TaskAnswer> aAnswers, WriteCallback aCallback)
   {
@@ -60,10 +60,10 @@
     }
     write->mAnswers = std::move(aAnswers);
     write->mCallback = std::move(aCallback);
-    WriteSome(write);
+    WriteNextBatch(write);
   }
 
-  // Reads one piece, from 0. NoAnswer if it is missing.
+  // Reads one piece, numbered from 0. Fails with NoAnswer if it is missing.
   void ReadPiece(const JobId& aJob, int aAttempt, int aTask, int aPiece, PieceCallback aCallback)
   {
     mStore.Get(PieceKey(Prefix(aJob, aAttempt, aTask), aPiece),
@@ -78,7 +78,7 @@
                });
   }
 
-  // Deletes all pieces of a done job's answers.
+  // Deletes all pieces of the answers that the record of a done job lists.
   void Delete(const JobRecord& aRecord, DoneCallback aCallback)
   {
     auto operations = std::make_shared<std::vector<kv::Operation>>();
@@ -88,7 +88,7 @@
         operations->push_back({ kv::Operation::Kind::Delete, PieceKey(prefix, i), "", 0 });
       }
     }
-    DeleteSome(operations, std::move(aCallback));
+    DeleteNextBatch(operations, std::move(aCallback));
   }
 
 private:
@@ -98,14 +98,14 @@
     std::vector<TaskAnswer> mAnswers;
     std::vector<AnswerInfo> mInfos;
     WriteCallback mCallback;
-    // The next piece to write.
+    // The next piece to write, as an index into mAnswers and the piece's number in that answer.
     std::size_t mAnswer = 0;
     int mPiece = 0;
   };
 
   static int PieceCount(std::int64_t aBytes)
   {
-    // An empty answer has one empty piece, so that a missing answer is never read as empty.
+    // An empty answer is stored as one empty piece, to tell it from a missing answer.
     return static_cast<int>(
       std::max<std::int64_t>(1, (aBytes + kPieceSize.Value() - 1) / kPieceSize.Value()));
   }
@@ -121,7 +121,8 @@
     return aPrefix + std::to_string(aPiece);
   }
 
-  // Takes as many of the next pieces as fit one transaction.
+  // Returns the writes of as many of the next pieces as fit into one transaction, and advances the
+  // position.
   static std::vector<kv::Operation> NextBatch(PendingWrite& aWrite)
   {
     std::vector<kv::Operation> operations;
@@ -145,7 +146,7 @@
     return operations;
   }
 
-  void WriteSome(const std::shared_ptr<PendingWrite>& aWrite)
+  void WriteNextBatch(const std::shared_ptr<PendingWrite>& aWrite)
   {
     auto operations = NextBatch(*aWrite);
     if (operations.empty()) {
@@ -158,12 +159,12 @@
                         aWrite->mCallback(FromKvError(aError), {});
                         return;
                       }
-                      WriteSome(aWrite);
+                      WriteNextBatch(aWrite);
                     });
   }
 
-  void
-  DeleteSome(const std::shared_ptr<std::vector<kv::Operation>>& aOperations, DoneCallback aCallback)
+  void DeleteNextBatch(const std::shared_ptr<std::vector<kv::Operation>>& aOperations,
+                       DoneCallback aCallback)
   {
     if (aOperations->empty()) {
       aCallback({});
@@ -179,7 +180,7 @@
         aCallback(FromKvError(aError));
         return;
       }
-      DeleteSome(aOperations, aCallback);
+      DeleteNextBatch(aOperations, aCallback);
     });
   }
 
--- a/src/jobs/AttemptReleases.h
+++ b/src/jobs/AttemptReleases.h
@@ -13,13 +13,14 @@
 
 namespace lovagerock::jobs {
 
-// Keeps which attempts were released and which are being checked, and releases the leases of
-// attempts that no job has. Attempts are known by the prefix that the ids of their leases share.
+// Releases the leases of attempts, among them orphaned ones that belong to no job, and tracks which
+// attempts were released and which are being checked. An attempt is identified by the prefix that
+// the ids of its leases share.
 template<workers::WorkerApi Api>
 class AttemptReleases
 {
 public:
-  // The views and the fence must outlive this object; their present values are used.
+  // The views and the fence must outlive this object, which reads their current values.
   AttemptReleases(Api& aApi, const WorkerViews& aViews, const workers::Fence& aFence)
     : mApi(aApi)
     , mViews(aViews)
@@ -27,15 +28,16 @@
   {
   }
 
-  // The part of a task's lease id that all tasks of its attempt share.
+  // Returns the part of a task's lease id that all tasks of its attempt share.
   static std::string Prefix(const LeaseId& aLease)
   {
     return aLease.Value().substr(0, aLease.Value().rfind('.') + 1);
   }
 
-  // Looks at the worker's job leases for which aIsManaged(lease) is false. Calls
-  // aOnUnknown(prefix, job) for each of their attempts that was not released and isn't being
-  // checked yet, until EndCheck(prefix). Repeats a release that seems to be lost.
+  // Examines the worker's job leases for which aIsManaged(lease) is false. Calls
+  // aOnUnknown(prefix, job) for each attempt among them that was not released and is not being
+  // checked yet; it is being checked until EndCheck(prefix). Repeats the release of an attempt
+  // whose leases the worker still reports after kReleaseRetry.
   template<typename IsManaged, typename OnUnknown>
   void Check(const workers::WorkerView& aView, IsManaged aIsManaged, OnUnknown aOnUnknown)
   {
@@ -52,28 +54,28 @@
           aOnUnknown(prefix, job);
         }
       } else if (Now() - released->second > kReleaseRetry) {
-        ReleaseSeen(prefix);
+        ReleaseReported(prefix);
       }
     }
   }
 
   void EndCheck(const std::string& aPrefix) { mChecks.erase(aPrefix); }
 
-  // Releases all leases of the record's attempt at the workers where they were placed.
+  // Releases all leases of the record's attempt on the workers that its placements name.
   void Release(const JobRecord& aRecord)
   {
     if (aRecord.mPlacements.empty()) {
       return;
     }
-    mReleased[Prefix(TaskLease(aRecord, 0))] = Now();
+    mReleased[Prefix(TaskLeaseId(aRecord, 0))] = Now();
     for (std::size_t i = 0; i < aRecord.mPlacements.size(); ++i) {
-      mApi.Release(aRecord.mPlacements[i].mAddress, TaskLease(aRecord, static_cast<int>(i)), mFence,
-                   [](std::error_code) {});
+      mApi.Release(aRecord.mPlacements[i].mAddress, TaskLeaseId(aRecord, static_cast<int>(i)),
+                   mFence, [](std::error_code) {});
     }
   }
 
-  // Releases all leases of an attempt, wherever they are seen.
-  void ReleaseSeen(const std::string& aPrefix)
+  // Releases all leases of an attempt that any worker's last state reports.
+  void ReleaseReported(const std::string& aPrefix)
   {
     mReleased[aPrefix] = Now();
     for (const auto& [id, view] : mViews) {
@@ -88,14 +90,15 @@
     }
   }
 
-  // Forgets releases that no worker should show any more.
+  // Forgets releases older than kReleaseRetention, whose leases no worker should report any more.
   void Expire()
   {
-    std::erase_if(
-      mReleased, [now = Now()](const auto& aEntry) { return now - aEntry.second > kKeepReleased; });
+    std::erase_if(mReleased, [now = Now()](const auto& aEntry) {
+      return now - aEntry.second > kReleaseRetention;
+    });
   }
 
-  // Forgets everything, when the planner role ends.
+  // Forgets all releases and checks; called when the planner role ends.
   void Clear()
   {
     mChecks.clear();
@@ -103,18 +106,18 @@
   }
 
 private:
-  // A release that was lost is repeated after this time.
+  // A release is repeated if a worker still reports the lease after this time.
   static constexpr Duration kReleaseRetry{ 2000 };
-  static constexpr Duration kKeepReleased{ 60000 };
+  static constexpr Duration kReleaseRetention{ 60000 };
 
   static TimePoint Now() { return std::chrono::steady_clock::now(); }
 
   Api& mApi;
   const WorkerViews& mViews;
   const workers::Fence& mFence;
-  // Attempts whose record is being read.
+  // Attempts whose job record is being read.
   std::set<std::string> mChecks;
-  // Attempts whose leases were released, and when; workers show them for a little longer.
+  // When the leases of each attempt were released; workers report them for a short time after.
   std::map<std::string, TimePoint> mReleased;
 };
 
--- a/src/jobs/CoordinatorAnswers.h
+++ b/src/jobs/CoordinatorAnswers.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Collection of the answers of finished tasks in the JobCoordinator.
+// JobCoordinator: collection of the answers of finished tasks.
 
 #include "jobs/JobCoordinator.h"
 
@@ -14,8 +14,9 @@
 void
 JobCoordinator<S, A>::CollectAnswers(ManagedJob& aJob, const GangStatus& aStatus)
 {
-  // Before the return: the collection of earlier answers may last as long as an outage.
-  NoteFinished(aJob, aStatus);
+  // Done even while a collection is in progress, because that may last as long as an outage of the
+  // store and would make the run time too long.
+  RecordFinishTime(aJob, aStatus);
   if (aJob.mCollecting) {
     return;
   }
@@ -50,7 +51,7 @@
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 void
-JobCoordinator<S, A>::NoteFinished(ManagedJob& aJob, const GangStatus& aStatus)
+JobCoordinator<S, A>::RecordFinishTime(ManagedJob& aJob, const GangStatus& aStatus)
 {
   const bool finished = std::all_of(aStatus.mTasks.begin(), aStatus.mTasks.end(),
                                     [](TaskStatus aTask) { return aTask == TaskStatus::Finished; });
@@ -59,13 +60,13 @@
   }
 }
 
-// Later attempts go on from a checkpoint, so their times are too short.
+// Ignores later attempts, which resume from a checkpoint and would give too short a run time.
 template<kv::KeyValueStore S, workers::WorkerApi A>
 void
 JobCoordinator<S, A>::LearnRunTime(const ManagedJob& aJob)
 {
   const auto& record = aJob.mRecord;
-  if (!aJob.mStartSeen || record.mAttempt != 1 || !aJob.mFinishedAt) {
+  if (!aJob.mStartedHere || record.mAttempt != 1 || !aJob.mFinishedAt) {
     return;
   }
   const auto size = placement::ResourceVector(record.mSpec.mPerTask) * record.mSpec.mTasks;
@@ -86,7 +87,7 @@
   }
   const int task = aBatch->mTasks[n];
   mApi.FetchAnswer(aBatch->mRecord.mPlacements[static_cast<std::size_t>(task)].mAddress,
-                   TaskLease(aBatch->mRecord, task),
+                   TaskLeaseId(aBatch->mRecord, task),
                    InTerm([this, aBatch, task](std::error_code aError, std::string aAnswer) {
                      if (aError) {
                        StoreAnswers(aBatch, aError);
--- a/src/jobs/CoordinatorGangs.h
+++ b/src/jobs/CoordinatorGangs.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Gangs in the JobCoordinator: starting, watching and stopping them.
+// JobCoordinator: starting, watching and stopping gangs.
 
 #include "jobs/JobCoordinator.h"
 
@@ -15,10 +15,11 @@
 namespace lovagerock::jobs {
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
-GangLimits
-JobCoordinator<S, A>::Limits() const
+LeaseLossTimeouts
+JobCoordinator<S, A>::LossTimeouts() const
 {
-  // Allows for the difference between the last answer heard and the last renewal.
+  // The lease of a silent worker may have been renewed up to one renewal period after the last
+  // state that was received from it.
   return { mTimes.mGang.mStartTtl, mTimes.mGang.mRunningTtl + mTimes.mRenewPeriod };
 }
 
@@ -56,7 +57,7 @@
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 bool
-JobCoordinator<S, A>::MustWait(const placement::GangStart& aStart, bool aOtherWaits) const
+JobCoordinator<S, A>::MustDefer(const placement::GangStart& aStart, bool aOtherDeferred) const
 {
   const auto it = mJobs.find(aStart.mJob);
   const bool urgent = it != mJobs.end() && it->second.mRecord.mSpec.mUrgent;
@@ -67,7 +68,7 @@
   for (const auto& [id, job] : mJobs) {
     starting += job.mPhase == JobPhase::Starting ? job.mRecord.mPlacements.size() : 0;
   }
-  return aOtherWaits ||
+  return aOtherDeferred ||
          (starting > 0 && starting + aStart.mWorkers.size() > mTimes.mMaxStartingTasks);
 }
 
@@ -104,7 +105,7 @@
       SetRecord(*job, std::move(aRecord));
       job->mPhase = JobPhase::Running;
       job->mStartedAt = Now();
-      job->mStartSeen = true;
+      job->mStartedHere = true;
       job->mFinishedAt.reset();
       job->mObservation = { Now(), {} };
       job->mAnswers.assign(job->mRecord.mPlacements.size(), std::nullopt);
@@ -132,7 +133,7 @@
       StopGang(*job, StopReason::StartFailed, Duration(0));
       break;
   }
-  PlanSoon();
+  SchedulePlan();
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
@@ -151,10 +152,10 @@
 void
 JobCoordinator<S, A>::CheckLeases(const workers::WorkerView& aView)
 {
-  const auto& jobs = mWorkerJobs.On(aView.mState->mWorker);
-  mChanged.insert(jobs.begin(), jobs.end());
-  if (!mChanged.empty() && !mCheckSoon.IsPending()) {
-    mCheckSoon = mLoop.After(mTimes.mCheckDelay, [this] { CheckChanged(); });
+  const auto& jobs = mWorkerJobs.JobsOn(aView.mState->mWorker);
+  mChangedJobs.insert(jobs.begin(), jobs.end());
+  if (!mChangedJobs.empty() && !mCheckDelayTimer.IsPending()) {
+    mCheckDelayTimer = mLoop.After(mTimes.mCheckDelay, [this] { CheckChangedJobs(); });
   }
   if (mRecordsLoaded) {
     CheckOrphans(aView);
@@ -163,9 +164,9 @@
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 void
-JobCoordinator<S, A>::CheckChanged()
+JobCoordinator<S, A>::CheckChangedJobs()
 {
-  for (const auto& it : std::exchange(mChanged, {})) {
+  for (const auto& it : std::exchange(mChangedJobs, {})) {
     if (auto* job = Find(it)) {
       CheckGang(*job);
     }
@@ -179,7 +180,8 @@
   if (aJob.mPhase != JobPhase::Running && aJob.mPhase != JobPhase::Stopping) {
     return;
   }
-  const auto status = ReadGangStatus(aJob.mRecord, mViews, aJob.mObservation, Limits(), Now());
+  const auto status =
+    ReadGangStatus(aJob.mRecord, mViews, aJob.mObservation, LossTimeouts(), Now());
   if (aJob.mPhase == JobPhase::Stopping) {
     if (status.HasEnded()) {
       aJob.mRecord.mCheckpoints = status.mCheckpoints;
@@ -228,7 +230,7 @@
     if (aStatus.mTasks[i] != TaskStatus::Reserved) {
       continue;
     }
-    mApi.Start(aJob.mRecord.mPlacements[i].mAddress, TaskLease(aJob.mRecord, static_cast<int>(i)),
+    mApi.Start(aJob.mRecord.mPlacements[i].mAddress, TaskLeaseId(aJob.mRecord, static_cast<int>(i)),
                mFence, mTimes.mGang.mRunningTtl,
                InTerm([this](std::error_code aError) { CheckFenced(aError); }));
   }
@@ -247,7 +249,7 @@
     .With("reason", StopReasonName(aReason))
     .With("deadline_ms", aDeadline);
   for (std::size_t i = 0; i < aJob.mRecord.mPlacements.size(); ++i) {
-    mApi.Stop(aJob.mRecord.mPlacements[i].mAddress, TaskLease(aJob.mRecord, static_cast<int>(i)),
+    mApi.Stop(aJob.mRecord.mPlacements[i].mAddress, TaskLeaseId(aJob.mRecord, static_cast<int>(i)),
               mFence, aDeadline, checkpoint,
               InTerm([this](std::error_code aError) { CheckFenced(aError); }));
   }
--- a/src/jobs/CoordinatorPlans.h
+++ b/src/jobs/CoordinatorPlans.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Plans in the JobCoordinator: making and executing them.
+// JobCoordinator: making and executing plans.
 
 #include "jobs/JobCoordinator.h"
 
@@ -16,7 +16,7 @@
 JobCoordinator<S, A>::OnTick()
 {
   mAttempts.Expire();
-  // Some conditions depend on time alone, such as a silent worker's lease that has lapsed.
+  // Some conditions depend on time alone, such as the expiry of a silent worker's lease.
   std::vector<JobId> ids;
   for (const auto& [id, job] : mJobs) {
     if (job.mPhase == JobPhase::Running || job.mPhase == JobPhase::Stopping) {
@@ -28,15 +28,15 @@
       CheckGang(*job);
     }
   }
-  PlanSoon();
+  SchedulePlan();
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 void
-JobCoordinator<S, A>::PlanSoon()
+JobCoordinator<S, A>::SchedulePlan()
 {
-  if (mActive && !mPlanSoon.IsPending()) {
-    mPlanSoon = mLoop.After(mTimes.mPlanDelay, [this] { MakePlan(); });
+  if (mActive && !mPlanDelayTimer.IsPending()) {
+    mPlanDelayTimer = mLoop.After(mTimes.mPlanDelay, [this] { MakePlan(); });
   }
 }
 
@@ -67,7 +67,7 @@
   mPlanThread.Compute(BuildSnapshot(mPolicy, mViews, mJobs, mComplete, now), std::move(mState),
                       [this, term = mTerm](placement::Plan aPlan, placement::PlannerState aState) {
                         if (std::exchange(mPlanAgain, false)) {
-                          PlanSoon();
+                          SchedulePlan();
                         }
                         if (!mActive || term != mTerm) {
                           return;
@@ -89,11 +89,11 @@
   for (const auto& it : aPlan.mReleases) {
     ReleaseService(it.mLease, ReleaseDeadline());
   }
-  bool held = false;
+  bool deferred = false;
   for (const auto& it : aPlan.mStarts) {
-    // None passes a gang that waits, or a burst of small gangs would hold up a large one.
-    if (MustWait(it, held)) {
-      held = true;
+    // No gang overtakes a deferred one, or a stream of small gangs could starve a large one.
+    if (MustDefer(it, deferred)) {
+      deferred = true;
     } else {
       StartGang(it);
     }
@@ -105,24 +105,24 @@
     if (auto* job = Find(it.mJob); job && job->mPhase == JobPhase::Queued) {
       const auto ran = job->mRecord.mAttempt > 0 ? Ran::Partly : Ran::No;
       const std::string name(placement::RefusalReasonName(it.mReason));
-      End(*job, JobState::Failed, ran, name + ": " + it.mDetail + Cause(*job));
+      End(*job, JobState::Failed, ran, name + ": " + it.mDetail + LastErrorSuffix(*job));
     }
   }
   for (const auto& it : aPlan.mWaiting) {
-    NoteWaiting(it);
+    RecordWaitReason(it);
   }
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 std::string
-JobCoordinator<S, A>::Cause(const ManagedJob& aJob)
+JobCoordinator<S, A>::LastErrorSuffix(const ManagedJob& aJob)
 {
   return aJob.mError.empty() ? std::string() : " (last error: " + aJob.mError + ")";
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 void
-JobCoordinator<S, A>::NoteWaiting(const placement::WaitingJob& aWaiting)
+JobCoordinator<S, A>::RecordWaitReason(const placement::WaitingJob& aWaiting)
 {
   auto* job = Find(aWaiting.mJob);
   if (!job) {
--- a/src/jobs/CoordinatorRecords.h
+++ b/src/jobs/CoordinatorRecords.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// Job records in the JobCoordinator: reading, adopting and writing them.
+// JobCoordinator: reading, adopting and writing job records.
 
 #include "jobs/JobCoordinator.h"
 
@@ -43,7 +43,7 @@
     for (const auto& [id, view] : mViews) {
       CheckLeases(view);
     }
-    PlanSoon();
+    SchedulePlan();
   }));
 }
 
@@ -51,7 +51,7 @@
 void
 JobCoordinator<S, A>::Relist()
 {
-  // In an outage each period would otherwise add one more listing that is made again.
+  // Otherwise each period of an outage would queue one more listing for a retry.
   if (std::exchange(mListing, true)) {
     return;
   }
@@ -77,7 +77,7 @@
   std::vector<JobId> unknown;
   std::copy_if(aListed.begin(), aListed.end(), std::back_inserter(unknown),
                [this](const JobId& aJob) { return !Find(aJob); });
-  // So many single reads cost the service more than one listing.
+  // Above this number, single reads cost the key-value service more than one listing.
   constexpr std::size_t kMaxReads = 32;
   if (unknown.size() > kMaxReads) {
     mListing = true;
@@ -96,7 +96,7 @@
   mJobStore.Load(aJob, InTerm([this, aJob](std::error_code aError, const Record& aRecord) {
                    auto* job = Find(aJob);
                    if (aError == make_error_code(JobError::BadRecord) && !job) {
-                     // Left out like in a listing; the next one finds it again.
+                     // Skipped as in a listing; the next listing reports the id again.
                      return;
                    }
                    if (aError && aError != make_error_code(JobError::NotFound)) {
@@ -145,7 +145,7 @@
       .With("tasks", aRecord.mPlacements.size());
   }
   if (mUnsentStarts.erase(aRecord.mStartToken) > 0 && aRecord.mState == JobState::Started) {
-    // The commit took effect although its answer was lost, and no start was sent.
+    // The commit took effect although its response was lost, and no start was sent to a worker.
     job.mStopReason = StopReason::StartFailed;
     Requeue(job, Ran::No);
     return;
@@ -154,7 +154,7 @@
   if (auto* it = Find(aRecord.mJob); it && it->mPhase == JobPhase::Running) {
     CheckGang(*it);
   }
-  PlanSoon();
+  SchedulePlan();
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
@@ -174,7 +174,7 @@
   if (auto* job = Find(aJob)) {
     mAttempts.Release(job->mRecord);
     EraseJob(aJob);
-    PlanSoon();
+    SchedulePlan();
   }
 }
 
@@ -206,7 +206,7 @@
   } else if (aJob.mPhase == JobPhase::Running) {
     StopGang(aJob, StopReason::Cancelled, mTimes.mReclaimDeadline);
   }
-  // A start in progress is looked at again when it ends.
+  // OnGangStart() checks a start in progress again once it has ended.
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
@@ -255,10 +255,11 @@
           .With("ran", RanName(record.mRan))
           .With("error", record.mError)
           .With("total_ms", record.mEndedMs - record.mSubmittedMs);
-        // The worker keeps its answer until here, so that an outage of the store loses none.
+        // The workers keep the answers until the record is stored, so that an outage of the store
+        // loses none.
         mAttempts.Release(old);
         EraseJob(old.mJob);
-        PlanSoon();
+        SchedulePlan();
       });
     }));
 }
@@ -286,10 +287,10 @@
   const auto isManaged = [this](const workers::LeaseState& aLease) {
     const auto* job = Find(aLease.mJob);
     return job && (job->mPhase == JobPhase::Writing ||
-                   TaskLease(job->mRecord, aLease.mTask) == aLease.mLease);
+                   TaskLeaseId(job->mRecord, aLease.mTask) == aLease.mLease);
   };
   mAttempts.Check(aView, isManaged, [this](const std::string& aPrefix, const JobId& aJob) {
-    // The record decides, because it may be newer than the list that was read.
+    // Read the record, because it may be newer than the copy from the last listing.
     CheckAttempt(aPrefix, aJob);
   });
 }
@@ -304,7 +305,7 @@
                      return;
                    }
                    const bool live = !aError && !aRecord.IsDone();
-                   if (live && mAttempts.Prefix(TaskLease(aRecord, 0)) == aPrefix) {
+                   if (live && mAttempts.Prefix(TaskLeaseId(aRecord, 0)) == aPrefix) {
                      AdoptCommitted(aRecord);
                    } else if (live && aRecord.mState == JobState::Pending) {
                      FenceRecord(aPrefix, aRecord);
@@ -319,7 +320,7 @@
 JobCoordinator<S, A>::AdoptCommitted(const Record& aRecord)
 {
   const auto* job = Find(aRecord.mJob);
-  // A start in progress here conflicts with the commit, and the record is read then.
+  // A start in progress here fails with a conflict, after which the record is read again.
   if (!job || job->mPhase == JobPhase::Queued) {
     Adopt(aRecord);
   }
@@ -331,7 +332,7 @@
 {
   auto* job = Find(aRecord.mJob);
   if (job && job->mPhase != JobPhase::Queued) {
-    // This planner's own commit has the same effect.
+    // This planner's own write of the record has the same effect: the other commit will fail.
     return;
   }
   if (job) {
@@ -352,7 +353,7 @@
 JobCoordinator<S, A>::ReleaseOrphan(const std::string& aPrefix)
 {
   LogEvent("attempt_orphaned").With("leases", aPrefix);
-  mAttempts.ReleaseSeen(aPrefix);
+  mAttempts.ReleaseReported(aPrefix);
 }
 
 } // namespace lovagerock::jobs
--- a/src/jobs/CoordinatorRole.h
+++ b/src/jobs/CoordinatorRole.h
@@ -1,6 +1,6 @@
 #pragma once
 
-// The planner role in the JobCoordinator: taking over, giving up, fences and lease renewals.
+// JobCoordinator: taking over and giving up the planner role, fences and lease renewals.
 
 #include "jobs/JobCoordinator.h"
 
@@ -68,13 +68,13 @@
   mRenewTimer.Cancel();
   mRelistTimer.Cancel();
   mPlanTimer.Cancel();
-  mPlanSoon.Cancel();
-  mCheckSoon.Cancel();
+  mPlanDelayTimer.Cancel();
+  mCheckDelayTimer.Cancel();
   mRetries.Clear();
   mAttempts.Clear();
   mJobs.clear();
   mWorkerJobs.Clear();
-  mChanged.clear();
+  mChangedJobs.clear();
   mState = {};
   LogEvent("planner_inactive").With("epoch", mFence.mEpoch).With("reason", aReason);
 }
@@ -84,7 +84,7 @@
 JobCoordinator<S, A>::SetPolicy(PolicyInput aPolicy)
 {
   mPolicy = std::move(aPolicy);
-  PlanSoon();
+  SchedulePlan();
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
@@ -107,9 +107,9 @@
     StepDown();
     return;
   }
-  mServices.Clean(view, mFence);
+  mServices.ReleaseEnded(view, mFence);
   CheckLeases(view);
-  PlanSoon();
+  SchedulePlan();
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
@@ -121,7 +121,7 @@
   }
   const auto it = mJobs.find(aJob);
   if (it != mJobs.end() && it->second.mPhase == JobPhase::Writing) {
-    // The write in progress will conflict, and the record is read then.
+    // The write in progress fails with a conflict if the record changed, and then reads it again.
     return;
   }
   Reload(aJob);
@@ -154,7 +154,7 @@
 {
   std::map<SocketAddress, std::vector<LeaseId>> leases;
   for (std::size_t i = 0; i < aRecord.mPlacements.size(); ++i) {
-    leases[aRecord.mPlacements[i].mAddress].push_back(TaskLease(aRecord, static_cast<int>(i)));
+    leases[aRecord.mPlacements[i].mAddress].push_back(TaskLeaseId(aRecord, static_cast<int>(i)));
   }
   for (const auto& [address, ids] : leases) {
     Renew(address, ids);
@@ -165,17 +165,17 @@
 void
 JobCoordinator<S, A>::RenewLeases()
 {
-  const auto whole = mRecordsLoaded ? std::set<std::string>() : WholeAttempts();
+  const auto complete = mRecordsLoaded ? std::set<std::string>() : CompleteAttempts();
   for (const auto& [id, view] : mViews) {
     if (view.mState) {
-      Renew(view.mAddress, LeasesToRenew(*view.mState, whole));
+      Renew(view.mAddress, LeasesToRenew(*view.mState, complete));
     }
   }
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 std::set<std::string>
-JobCoordinator<S, A>::WholeAttempts() const
+JobCoordinator<S, A>::CompleteAttempts() const
 {
   std::map<std::string, int> missing;
   for (const auto& [id, view] : mViews) {
@@ -190,19 +190,19 @@
       }
     }
   }
-  std::set<std::string> whole;
+  std::set<std::string> complete;
   for (const auto& [prefix, n] : missing) {
     if (n <= 0) {
-      whole.insert(prefix);
+      complete.insert(prefix);
     }
   }
-  return whole;
+  return complete;
 }
 
 template<kv::KeyValueStore S, workers::WorkerApi A>
 std::vector<LeaseId>
 JobCoordinator<S, A>::LeasesToRenew(const workers::WorkerState& aState,
-                                    const std::set<std::string>& aWhole)
+                                    const std::set<std::string>& aCompleteAttempts)
 {
   std::vector<LeaseId> leases;
   for (const auto& it : aState.mLeases) {
@@ -211,8 +211,9 @@
     }
     const auto* job = Find(it.mJob);
     const bool known =
-      job && job->mPhase == JobPhase::Running && TaskLease(job->mRecord, it.mTask) == it.mLease;
-    const bool wanted = mRecordsLoaded ? known : aWhole.contains(mAttempts.Prefix(it.mLease));
+      job && job->mPhase == JobPhase::Running && TaskLeaseId(job->mRecord, it.mTask) == it.mLease;
+    const bool wanted =
+      mRecordsLoaded ? known : aCompleteAttempts.contains(mAttempts.Prefix(it.mLease));
     if (it.mKind == workers::LeaseKind::Service || wanted) {
       leases.push_back(it.mLease);
     }
--- a/src/jobs/GangStart.h
+++ b/src/jobs/GangStart.h
@@ -19,20 +19,21 @@
 // How an attempt to start a gang ended.
 enum class GangOutcome
 {
-  // All tasks run.
+  // All workers confirmed the start of their tasks.
   Started,
-  // Nothing was committed and all reservations were released; the gang may be tried again.
+  // Nothing was committed and all reservations were released; the start may be retried.
   NotReserved,
-  // A worker is commanded by a newer planner. If the attempt was committed, that planner completes
-  // the start.
+  // A worker rejected the fence because it has seen a newer planner's. If the attempt was
+  // committed, that planner completes the start.
   Fenced,
-  // The record was changed by another node, or its version is unknown; it must be read again.
+  // Another node changed the record, or the outcome of the write is unknown; the caller must read
+  // the record again.
   NotCommitted,
   // Committed, but not all tasks confirmed their start; all were told to stop.
   StartFailed,
 };
 
-// The name used in logs.
+// Returns the name used in logs.
 constexpr const char*
 GangOutcomeName(GangOutcome aOutcome)
 {
@@ -51,30 +52,30 @@
   return "not_reserved";
 }
 
-// Time limits of a gang start.
+// Time limits of a gang's start and of its leases.
 struct GangTimes
 {
-  // A reservation lapses by itself after this time.
+  // A reservation that is not started expires after this time.
   Duration mReservationTtl{ 5000 };
-  // A started task stops by itself after this time unless the start of the whole gang was
-  // confirmed, which extends the lease to mRunningTtl.
+  // The lease of a started task expires after this time, unless all tasks of the gang were
+  // confirmed as started: then its lease is renewed for mRunningTtl.
   Duration mStartTtl{ 5000 };
   Duration mRunningTtl{ 60000 };
-  // All starts must be confirmed within this time.
-  Duration mStartLimit{ 2000 };
+  // All workers must confirm the start within this time.
+  Duration mStartTimeout{ 2000 };
 };
 
-// Starts one gang whole or not at all: reserves every lease, commits the attempt in the job's
+// Starts all tasks of a gang or none: reserves every lease, commits the attempt in the job's
 // record, then starts every lease. One object serves one attempt.
 template<kv::KeyValueStore Store, workers::WorkerApi Api>
 class GangStart : public std::enable_shared_from_this<GangStart<Store, Api>>
 {
 public:
-  // Receives the outcome and the record as it stands; if NotReserved, also the workers that
-  // refused or did not answer.
+  // Receives the outcome, the record as this start left it, and the workers that refused the
+  // reservation or did not answer.
   using Callback = std::function<void(GangOutcome, JobRecord, std::vector<WorkerId>)>;
 
-  // The record must have its placements and a fresh start token set, and its state Pending.
+  // The record must be Pending and have its placements and a new start token set.
   GangStart(EventLoop& aLoop, Api& aApi, JobStore<Store>& aJobs, JobRecord aRecord,
             workers::Fence aFence, const GangTimes& aTimes, Callback aCallback)
     : mLoop(aLoop)
@@ -90,7 +91,7 @@
   void Run()
   {
     ++mRecord.mAttempt;
-    mOpen = mRecord.mPlacements.size();
+    mPendingCalls = mRecord.mPlacements.size();
     for (std::size_t i = 0; i < mRecord.mPlacements.size(); ++i) {
       mApi.Reserve(
         mRecord.mPlacements[i].mAddress, MakeRequest(i),
@@ -105,7 +106,7 @@
   {
     const auto task = static_cast<int>(aTask);
     workers::LeaseRequest request;
-    request.mLease = TaskLease(mRecord, task);
+    request.mLease = TaskLeaseId(mRecord, task);
     request.mFence = mFence;
     request.mTtl = mTimes.mReservationTtl;
     request.mKind = workers::LeaseKind::Job;
@@ -136,7 +137,7 @@
         .With("worker", mRecord.mPlacements[aTask].mWorker)
         .With("reason", aError.message());
     }
-    if (--mOpen > 0) {
+    if (--mPendingCalls > 0) {
       return;
     }
     if (!mRefused.empty()) {
@@ -150,7 +151,7 @@
   void Commit()
   {
     mRecord.mState = JobState::Started;
-    // From here on a task may run, and only its workers can tell.
+    // Once this is committed tasks may run, and only the workers know whether they do.
     mRecord.mRan = Ran::Partly;
     mJobs.Update(mRecord,
                  [self = this->shared_from_this()](std::error_code aError, JobRecord aWritten) {
@@ -170,14 +171,14 @@
       return;
     }
     mRecord = std::move(aWritten);
-    mOpen = mRecord.mPlacements.size();
-    mLimit = mLoop.After(mTimes.mStartLimit, [weak = this->weak_from_this()] {
+    mPendingCalls = mRecord.mPlacements.size();
+    mStartTimer = mLoop.After(mTimes.mStartTimeout, [weak = this->weak_from_this()] {
       if (const auto self = weak.lock()) {
         self->OnStartFailed();
       }
     });
     for (std::size_t i = 0; i < mRecord.mPlacements.size(); ++i) {
-      mApi.Start(mRecord.mPlacements[i].mAddress, TaskLease(mRecord, static_cast<int>(i)), mFence,
+      mApi.Start(mRecord.mPlacements[i].mAddress, TaskLeaseId(mRecord, static_cast<int>(i)), mFence,
                  mTimes.mStartTtl, [self = this->shared_from_this()](std::error_code aStartError) {
                    self->OnStarted(aStartError);
                  });
@@ -190,8 +191,9 @@
       return;
     }
     if (aError == make_error_code(workers::WorkerError::Fenced)) {
-      // The newer planner finds the committed record and starts the rest. A stop from here would
-      // end the tasks that run already; if nobody completes the start, their TTL ends them.
+      // The newer planner finds the committed record and starts the remaining tasks. Stopping the
+      // gang here would end tasks that run already. If no planner completes the start, their leases
+      // expire.
       Finish(GangOutcome::Fenced);
       return;
     }
@@ -199,7 +201,7 @@
       OnStartFailed();
       return;
     }
-    if (--mOpen == 0) {
+    if (--mPendingCalls == 0) {
       Finish(GangOutcome::Started);
     }
   }
@@ -210,7 +212,7 @@
       return;
     }
     for (std::size_t i = 0; i < mRecord.mPlacements.size(); ++i) {
-      mApi.Stop(mRecord.mPlacements[i].mAddress, TaskLease(mRecord, static_cast<int>(i)), mFence,
+      mApi.Stop(mRecord.mPlacements[i].mAddress, TaskLeaseId(mRecord, static_cast<int>(i)), mFence,
                 Duration(0), false, [](std::error_code) {});
     }
     Finish(GangOutcome::StartFailed);
@@ -219,15 +221,15 @@
   void ReleaseAll()
   {
     for (std::size_t i = 0; i < mRecord.mPlacements.size(); ++i) {
-      mApi.Release(mRecord.mPlacements[i].mAddress, TaskLease(mRecord, static_cast<int>(i)), mFence,
-                   [](std::error_code) {});
+      mApi.Release(mRecord.mPlacements[i].mAddress, TaskLeaseId(mRecord, static_cast<int>(i)),
+                   mFence, [](std::error_code) {});
     }
   }
 
   void Finish(GangOutcome aOutcome)
   {
     mFinished = true;
-    mLimit.Cancel();
+    mStartTimer.Cancel();
     LogEvent("gang_start")
       .With("job", mRecord.mJob)
       .With("attempt", mRecord.mAttempt)
@@ -244,8 +246,8 @@
   workers::Fence mFence;
   GangTimes mTimes;
   Callback mCallback;
-  Timer mLimit;
-  std::size_t mOpen = 0;
+  Timer mStartTimer;
+  std::size_t mPendingCalls = 0;
   std::vector<WorkerId> mRefused;
   bool mFenced = false;
   bool mFinished = false;
--- a/src/jobs/GangStatus.cpp
+++ b/src/jobs/GangStatus.cpp
@@ -63,7 +63,7 @@
 
 GangStatus
 ReadGangStatus(const JobRecord& aRecord, const WorkerViews& aViews, GangObservation& aObservation,
-               const GangLimits& aLimits, TimePoint aNow)
+               const LeaseLossTimeouts& aTimeouts, TimePoint aNow)
 {
   GangStatus status;
   status.mTasks.resize(aRecord.mPlacements.size(), TaskStatus::Unknown);
@@ -74,7 +74,7 @@
     const auto it = aViews.find(aRecord.mPlacements[i].mWorker);
     const bool known = it != aViews.end() && it->second.mState;
     const auto* lease =
-      known ? detail::FindLease(*it->second.mState, TaskLease(aRecord, static_cast<int>(i)))
+      known ? detail::FindLease(*it->second.mState, TaskLeaseId(aRecord, static_cast<int>(i)))
             : nullptr;
     const auto heard = known ? it->second.mHeard : aObservation.mSince;
     const bool silent = !known || it->second.mSuspected;
@@ -82,9 +82,11 @@
       aObservation.mSeen[i] = true;
       status.mTasks[i] = detail::FromPhase(lease->mPhase);
     }
-    const bool lapsed = silent && aNow - std::max(heard, aObservation.mSince) > aLimits.mSilent;
+    const bool lapsed =
+      silent && aNow - std::max(heard, aObservation.mSince) > aTimeouts.mSilenceTimeout;
     const bool gone =
-      !silent && !lease && (aObservation.mSeen[i] || aNow - aObservation.mSince > aLimits.mUnseen);
+      !silent && !lease &&
+      (aObservation.mSeen[i] || aNow - aObservation.mSince > aTimeouts.mUnseenTimeout);
     if (lapsed || gone) {
       status.mTasks[i] = TaskStatus::Lost;
     }
--- a/src/jobs/GangStatus.h
+++ b/src/jobs/GangStatus.h
@@ -10,24 +10,24 @@
 
 namespace lovagerock::jobs {
 
-// The views of the workers, by worker id.
+// This node's views of the workers, by worker id.
 using WorkerViews = std::map<WorkerId, workers::WorkerView>;
 
-// What is known of one task of an attempt.
+// The status of one task of an attempt, as far as this node knows.
 enum class TaskStatus
 {
-  // The worker was not heard yet, or is silent and the lease may still be alive.
+  // The worker has not reported the lease, which may still exist.
   Unknown,
   Reserved,
   Running,
   Stopping,
   Finished,
   Failed,
-  // Stopped, or the lease doesn't exist any more.
+  // Stopped, or the lease no longer exists or has expired.
   Lost,
 };
 
-// What is known of a gang.
+// The status of a gang, as far as this node knows.
 struct GangStatus
 {
   std::vector<TaskStatus> mTasks;
@@ -39,33 +39,34 @@
 
   bool All(TaskStatus aStatus) const;
   bool Any(TaskStatus aStatus) const;
-  // Whether no task can be running any more.
+  // Returns whether no task can be running any more.
   bool HasEnded() const;
 };
 
-// What this planner has observed of an attempt so far.
+// What this planner has observed of an attempt.
 struct GangObservation
 {
-  // When the attempt was started or taken over.
+  // When this planner started the attempt or took it over.
   TimePoint mSince;
-  // Whether the lease of each task was in a state of its worker since then.
+  // For each task, whether its worker has reported the lease since then.
   std::vector<bool> mSeen;
 };
 
-// When a lease that can't be seen counts as lost.
-struct GangLimits
+// When a lease that its worker does not report counts as lost.
+struct LeaseLossTimeouts
 {
-  // A worker's state may be older than the start of the attempt, so a lease that was never seen
-  // counts as lost only after this time.
-  Duration mUnseen{ 5000 };
-  // The lease of a silent worker counts as lost once it was silent for this time.
-  Duration mSilent{ 80000 };
+  // For a lease that was never reported, since the start of the observation: a worker's state may
+  // be older than the start of the attempt.
+  Duration mUnseenTimeout{ 5000 };
+  // For the lease of a silent worker, since the worker was last heard, or since the start of the
+  // observation if that was later.
+  Duration mSilenceTimeout{ 80000 };
 };
 
-// Reads the status of a record's current attempt from the workers' states, and notes the leases
-// that were seen.
+// Returns the status of the record's current attempt according to the workers' states, and marks
+// the reported leases in the observation.
 GangStatus
 ReadGangStatus(const JobRecord& aRecord, const WorkerViews& aViews, GangObservation& aObservation,
-               const GangLimits& aLimits, TimePoint aNow);
+               const LeaseLossTimeouts& aTimeouts, TimePoint aNow);
 
 } // namespace lovagerock::jobs
--- a/src/jobs/JobApi.h
+++ b/src/jobs/JobApi.h
@@ -17,42 +17,43 @@
 
 namespace lovagerock::jobs {
 
-// The callers' endpoints for jobs, as described in docs/callers-api.md. Every node serves every
-// job, because all state is in the key-value service. Belongs to its loop.
+// The callers' HTTP endpoints for jobs, as described in docs/callers-api.md. Every node serves
+// every job, because all state is in the key-value service. Must be used on its event loop's thread
+// only.
 template<kv::KeyValueStore Store>
 class JobApi
 {
 public:
-  // The longest time that a caller may wait in one call.
-  static constexpr Duration kLongestWait{ 10000 };
-  static constexpr std::size_t kMaxKey = 255;
-  // Each waiting caller costs the key-value service one call, so their number is bounded; further
-  // ones get the present state at once.
+  // The longest time that one call may wait for the end of a job (wait_ms).
+  static constexpr Duration kMaxWait{ 10000 };
+  static constexpr std::size_t kMaxKeyBytes = 255;
+  // Each waiting caller keeps one call to the key-value service open, so their number is bounded;
+  // further callers get the job's current state at once.
   static constexpr int kMaxWaiting = 256;
 
   struct Hooks
   {
-    // Finds the client account of a request by its token.
+    // Returns the client account of a request's token; nullopt if the token is unknown.
     std::function<std::optional<AccountId>(const http::Request&)> mAuthenticate;
-    // Whether there is a configuration, without which no token is known.
+    // Returns whether the node has a configuration. Without one it knows no tokens.
     std::function<bool()> mIsConfigured;
-    // Why new jobs are refused at present; nothing if they are accepted.
-    std::function<std::optional<std::string>()> mGate;
-    // Tells the region's planner that a job was submitted or its cancellation requested.
+    // Returns the error code for refusing new jobs, or nullopt if this node accepts them.
+    std::function<std::optional<std::string>()> mRefusalReason;
+    // Notifies the region's planner that a job was submitted or its cancellation requested.
     std::function<void(const JobId&)> mNotifyPlanner;
   };
 
-  // aWatchStore serves the waiting calls only, so that they can't hold up the other ones.
+  // aWatchStore is used for waiting calls only, so that they cannot delay the others.
   JobApi(JobStore<Store>& aJobs, JobStore<Store>& aWatchStore, AnswerStore<Store>& aAnswers,
          Hooks aHooks)
     : mJobs(aJobs)
-    , mWatches(aWatchStore)
+    , mWatchStore(aWatchStore)
     , mAnswers(aAnswers)
     , mHooks(std::move(aHooks))
   {
   }
 
-  // Registers the endpoints. This object must outlive the server's requests.
+  // Registers the endpoints. This object must outlive all requests of the server.
   void Register(http::HttpServer& aServer)
   {
     aServer.Handle(http::Method::Post, "/v1/jobs",
@@ -76,7 +77,7 @@
 private:
   void Submit(const http::Request& aRequest, const http::Responder& aResponder)
   {
-    if (const auto reason = mHooks.mGate()) {
+    if (const auto reason = mHooks.mRefusalReason()) {
       aResponder.Send(RefuseJob(503, *reason, "this node accepts no new work", "no", true));
       return;
     }
@@ -86,7 +87,7 @@
       return;
     }
     const auto key = aRequest.mHeaders.Get("Idempotency-Key");
-    if (key.empty() || key.size() > kMaxKey) {
+    if (key.empty() || key.size() > kMaxKeyBytes) {
       aResponder.Send(RefuseJob(400, "bad_idempotency_key",
                                 "Idempotency-Key of 1 to 255 bytes is required", "no", false));
       return;
@@ -132,8 +133,8 @@
     aResponder.Send(http::JsonResponse(202, DescribeJob(aStored)));
   }
 
-  // Loads the job of the request's path and passes it on if it belongs to the caller's account.
-  // A job of another account looks like none at all.
+  // Loads the job named in the request's path and passes its record to aNext. Answers 404 if there
+  // is no such job or it belongs to another account, so that callers cannot tell the two apart.
   template<typename Next>
   void WithJob(const http::Request& aRequest, const http::Responder& aResponder, Next aNext)
   {
@@ -160,19 +161,19 @@
 
   void Show(const http::Request& aRequest, const http::Responder& aResponder)
   {
-    const auto wait = ReadWait(aRequest.QueryParameter("wait_ms"), kLongestWait);
+    const auto wait = ReadWait(aRequest.QueryParameter("wait_ms"), kMaxWait);
     WithJob(aRequest, aResponder, [this, wait, aResponder](const JobRecord& aRecord) {
-      if (aRecord.IsDone() || wait.count() == 0 || mWaiting >= kMaxWaiting) {
+      if (aRecord.IsDone() || wait.count() == 0 || mWaitingCallers >= kMaxWaiting) {
         aResponder.Send(http::JsonResponse(200, DescribeJob(aRecord)));
         return;
       }
-      ++mWaiting;
-      mWatches.AwaitDone(aRecord.mJob, wait,
-                         [this, aResponder](std::error_code aError, const JobRecord& aLater) {
-                           --mWaiting;
-                           aResponder.Send(aError ? RefuseForError(aError, "unknown")
-                                                  : http::JsonResponse(200, DescribeJob(aLater)));
-                         });
+      ++mWaitingCallers;
+      mWatchStore.AwaitDone(
+        aRecord.mJob, wait, [this, aResponder](std::error_code aError, const JobRecord& aLater) {
+          --mWaitingCallers;
+          aResponder.Send(aError ? RefuseForError(aError, "unknown")
+                                 : http::JsonResponse(200, DescribeJob(aLater)));
+        });
     });
   }
 
@@ -198,7 +199,7 @@
     });
   }
 
-  // An answer on its way to a caller.
+  // The state of sending one answer to a caller.
   struct Transfer
   {
     JobRecord mRecord;
@@ -207,8 +208,8 @@
     http::Responder mResponder;
   };
 
-  // Sends one piece after the other, each read only after the one before was written, so that a
-  // slow caller costs one piece of memory.
+  // Sends the answer's remaining pieces. Reads each only after the previous one was written to the
+  // connection, so that a slow caller costs the memory of one piece.
   void SendPiece(const std::shared_ptr<Transfer>& aTransfer)
   {
     const auto& info = aTransfer->mRecord.mAnswers.at(static_cast<std::size_t>(aTransfer->mTask));
@@ -225,7 +226,7 @@
           return;
         }
         if (aError) {
-          // The length was announced, so the caller sees that the answer is cut.
+          // Content-Length was sent, so the caller can tell that the answer is truncated.
           aTransfer->mResponder.Abort();
           return;
         }
@@ -271,7 +272,7 @@
     });
   }
 
-  // The record goes last, so that an interrupted deletion can be repeated.
+  // Deletes the record last, so that an interrupted deletion can be repeated.
   void Delete(const JobRecord& aRecord, const http::Responder& aResponder)
   {
     mAnswers.Delete(aRecord, [this, aRecord, aResponder](std::error_code aError) {
@@ -287,10 +288,10 @@
   }
 
   JobStore<Store>& mJobs;
-  JobStore<Store>& mWatches;
+  JobStore<Store>& mWatchStore;
   AnswerStore<Store>& mAnswers;
   Hooks mHooks;
-  int mWaiting = 0;
+  int mWaitingCallers = 0;
 };
 
 } // namespace lovagerock::jobs
--- a/src/jobs/JobCoordinator.h
+++ b/src/jobs/JobCoordinator.h
@@ -25,37 +25,37 @@
 
 namespace lovagerock::jobs {
 
-// Times of the coordinator.
+// Timing of the coordinator, and its limit of concurrent starts.
 struct CoordinatorTimes
 {
   GangTimes mGang;
-  // Running leases are renewed this often.
+  // Running leases are renewed at this interval.
   Duration mRenewPeriod{ 20000 };
-  // A borrower must have stopped after this time, checkpoint included.
+  // Time in which work whose borrowed capacity is reclaimed must checkpoint and stop.
   Duration mReclaimDeadline{ 2000 };
-  // Changes of workers within this time lead to one look at each gang that they concern.
+  // Worker changes within this time are combined into one check of each affected gang.
   Duration mCheckDelay{ 10 };
-  // Changes within this time lead to one plan.
+  // Changes within this time are combined into one plan.
   Duration mPlanDelay{ 20 };
   // A plan is made at least this often, because some rules depend on time alone.
   Duration mPlanPeriod{ 1000 };
-  // The ids of all records are read again this often, in case a notification was lost.
+  // The ids of all live records are listed at this interval, in case a notification was lost.
   Duration mRelistPeriod{ 60000 };
-  // Upper bound of the jittered delay before a failed call is made again, at first and at most.
+  // Initial and largest upper bound of the jittered delay before a failed call is retried.
   Duration mStoreRetry{ 1000 };
   Duration mMaxStoreRetry{ 8000 };
-  // Gangs that are neither urgent nor guaranteed start only while the starts in progress have at
-  // most this many tasks together, because each call that is open costs about 4 KiB. One gang may
-  // always start.
+  // The largest total number of tasks in concurrent gang starts, because each open call costs about
+  // 4 KiB. Urgent and guaranteed gangs are exempt, and so is a gang while no other is starting.
   std::size_t mMaxStartingTasks = 512;
-  // A job isn't planned again for this time after a start that was not possible.
+  // After a failed reservation a job is not planned for a jittered delay, at least this long and
+  // less than twice as long.
   Duration mStartRetry{ 200 };
 };
 
-// Drives all jobs and service replicas of a region while this node is the region's planner: reads
-// the records, plans, starts gangs, renews leases, stops gangs whole, and stores answers. What it
-// knows comes from the key-value service and the workers, so that any node can take over.
-// Belongs to its loop.
+// Manages all jobs and service replicas of a region while this node is the region's planner: reads
+// the job records, makes plans, starts gangs, renews leases, stops gangs and stores answers. Its
+// durable state is in the key-value service and at the workers, so that any node can take over.
+// Must be used on its event loop's thread only.
 template<kv::KeyValueStore Store, workers::WorkerApi Api>
 class JobCoordinator
 {
@@ -66,23 +66,25 @@
   JobCoordinator(const JobCoordinator&) = delete;
   JobCoordinator& operator=(const JobCoordinator&) = delete;
 
-  // Takes over the planner role with an epoch above all that the workers have seen.
+  // Takes over the planner role with an epoch above all that the known workers have reported.
   void Activate();
-  // Gives up the planner role. Running tasks go on under their leases.
+  // Gives up the planner role. Running tasks continue until their leases expire.
   void Deactivate(const char* aReason);
   bool IsActive() const { return mActive; }
-  // Run times of finished jobs that were given to the planner so far.
+  // Returns how many run times of finished jobs were queued for the run-time history so far.
   std::uint64_t LearnedRunTimes() const { return mLearned; }
-  // Called after a worker refused this node's fence and the role was given up.
+  // Sets a callback that is called after this node gave up the role because of a newer planner's
+  // fence at a worker.
   void OnFenced(std::function<void()> aCallback) { mOnFenced = std::move(aCallback); }
 
-  // Sets the accounts and services that plans are made for.
+  // Sets the accounts, services and weights for the next plans.
   void SetPolicy(PolicyInput aPolicy);
-  // Whether all listed workers were heard, so that a lack of capacity is real.
+  // Sets whether all listed workers have reported their state. Until then a lack of capacity may
+  // only be apparent.
   void SetComplete(bool aComplete) { mComplete = aComplete; }
-  // Takes a worker's new view. Views are kept while inactive too.
+  // Updates this node's view of a worker, also while the node is not the planner.
   void OnWorkerChange(const workers::WorkerChange& aChange);
-  // Reads a job's record again after a submission or a cancellation.
+  // Reads a job's record again after a submission or a cancellation request.
   void OnJobChanged(const JobId& aJob);
 
   const ManagedJobs& Jobs() const { return mJobs; }
@@ -93,7 +95,7 @@
 private:
   using Record = JobRecord;
 
-  // Wraps a callback so that it does nothing once the planner role has changed.
+  // Wraps a callback so that it does nothing after the current term as planner has ended.
   template<typename Function>
   auto InTerm(Function aFunction)
   {
@@ -108,19 +110,19 @@
 
   // The planner role and its leases (CoordinatorRole.h).
   void StepDown();
-  // Whether the error says that a newer planner commands the worker; steps down then.
+  // Steps down and returns true if the error says that the worker has seen a newer planner's fence.
   bool CheckFenced(std::error_code aError);
   void RenewGang(const Record& aRecord);
-  // Renews one worker's leases in one call. It also makes a new fence known to all workers.
+  // Renews the leases of each worker in one call, which also makes a new fence known to the worker.
   void RenewLeases();
-  // Attempts, by the prefix of their leases, of which every task runs or has finished at workers
-  // that answer. Before the records are known these may be wanted. Parts of others are not renewed:
-  // a planner that is cut off from the key-value service and from some of the workers would keep
-  // part of a gang running for as long as the cut lasts.
-  std::set<std::string> WholeAttempts() const;
-  // aWhole counts only before the records are known.
+  // Returns the lease prefixes of the attempts of which every task is running or finished on a
+  // worker that is not suspected. Until the records are loaded no other job leases are renewed.
+  // Otherwise a planner that is partitioned from the key-value service and from some of the workers
+  // would keep part of a gang running for as long as the partition lasts.
+  std::set<std::string> CompleteAttempts() const;
+  // Uses aCompleteAttempts only until the records are loaded.
   std::vector<LeaseId>
-  LeasesToRenew(const workers::WorkerState& aState, const std::set<std::string>& aWhole);
+  LeasesToRenew(const workers::WorkerState& aState, const std::set<std::string>& aCompleteAttempts);
   void Renew(const SocketAddress& aWorker, const std::vector<LeaseId>& aLeases);
 
   // Job records (CoordinatorRecords.h).
@@ -130,90 +132,92 @@
   void LoadUnknown(const std::vector<JobId>& aListed);
   void Reload(const JobId& aJob);
   void RetryLater(std::function<void()> aTask);
-  // Takes a record as the store has it.
+  // Replaces this planner's state of the job by the stored record.
   void Adopt(const Record& aRecord);
   static TimePoint QueuedAt(const Record& aRecord);
   void ForgetJob(const JobId& aJob);
-  // Every change of a record's placements goes through these two, which keep the index.
+  // Every change of a record's placements must go through these two, which update mWorkerJobs.
   void SetRecord(ManagedJob& aJob, Record aRecord);
   void EraseJob(const JobId& aJob);
   void CheckCancel(ManagedJob& aJob);
   void Requeue(ManagedJob& aJob, Ran aRan);
   void End(ManagedJob& aJob, JobState aState, Ran aRan, const std::string& aError);
-  // Goes on after a write, or reads the record again if it could not be written.
+  // Calls aNext after a successful write; otherwise reads the record again later.
   void OnWritten(const Record& aOld, std::error_code aError, const std::function<void()>& aNext);
-  // Looks at the worker's leases that belong to no managed job.
+  // Checks the attempts of the worker's job leases that belong to no managed job.
   void CheckOrphans(const workers::WorkerView& aView);
   void CheckAttempt(const std::string& aPrefix, const JobId& aJob);
-  // Takes an attempt that another planner committed after this one had read the record.
+  // Adopts an attempt that another planner committed after this one had read the record.
   void AdoptCommitted(const Record& aRecord);
-  // Writes the record as it is, so that another planner's commit on the version read before fails,
-  // and then releases the attempt's leases. A commit after the release would leave a started record
-  // without tasks, and a non-idempotent job would end as interrupted although it never ran.
+  // Rewrites the record unchanged, so that another planner's commit based on the previous version
+  // fails, and then releases the attempt's leases. A commit after the release would leave a started
+  // record without tasks, and a non-idempotent job would end as interrupted although it never ran.
   void FenceRecord(const std::string& aPrefix, const Record& aRecord);
   void ReleaseOrphan(const std::string& aPrefix);
 
   // Gangs (CoordinatorGangs.h).
-  GangLimits Limits() const;
+  LeaseLossTimeouts LossTimeouts() const;
   void StartGang(const placement::GangStart& aStart);
-  // Whether the start would exceed the limit of starts in progress, or follows one that waits for
-  // it. A later plan contains it again. Urgent and guaranteed work doesn't wait.
-  bool MustWait(const placement::GangStart& aStart, bool aOtherWaits) const;
+  // Returns whether the start must be left to a later plan, because it would exceed
+  // mMaxStartingTasks or another start of the plan was deferred. Urgent and guaranteed gangs are
+  // never deferred.
+  bool MustDefer(const placement::GangStart& aStart, bool aOtherDeferred) const;
   void LogStart(const placement::GangStart& aStart, const ManagedJob& aJob) const;
   void OnGangStart(GangOutcome aOutcome, Record aRecord, const std::vector<WorkerId>& aRefused);
-  // Looks at the leases that may have taken the capacity of a refused reservation. They belong to
-  // another planner's attempt if their state was seen while this planner's start was in progress.
+  // Checks workers that refused a reservation for orphaned leases, which may hold the capacity.
+  // Those of another planner's attempt at the same job were ignored while this planner's start was
+  // in progress.
   void CheckRefusals(const std::vector<WorkerId>& aWorkers);
-  // Notes every job that has a task on the worker for CheckChanged(), and looks at leases without a
-  // job.
+  // Queues every job that has a task on the worker for CheckChangedJobs(), and checks the worker
+  // for orphaned leases.
   void CheckLeases(const workers::WorkerView& aView);
-  // Looks at the noted jobs.
-  void CheckChanged();
-  // Reads the state of the job's tasks and takes the next step.
+  // Checks the gangs of the queued jobs.
+  void CheckChangedJobs();
+  // Evaluates the state of the job's tasks and takes the next step.
   void CheckGang(ManagedJob& aJob);
   void RecordFailure(ManagedJob& aJob, const GangStatus& aStatus);
-  // Completes a start that a former planner committed but did not finish.
+  // Starts the tasks that a former planner committed but did not start.
   void ResumeStart(ManagedJob& aJob, const GangStatus& aStatus);
-  // Stops every task of the gang; EndAttempt() follows once all have ended.
+  // Stops every task of the gang. CheckGang() calls EndAttempt() once all have ended.
   void StopGang(ManagedJob& aJob, StopReason aReason, Duration aDeadline);
-  // All tasks have ended without a whole answer.
+  // Requeues the job or ends it, after all tasks of a stopped attempt have ended.
   void EndAttempt(ManagedJob& aJob);
 
   // Answers (CoordinatorAnswers.h).
-  // Answers of one gang on their way from the workers to the store.
+  // Answers of one gang that are being copied from the workers to the store.
   struct AnswerBatch
   {
     Record mRecord;
-    // The finished tasks, of which mAnswers has the first ones.
+    // The finished tasks to collect. mAnswers has the answers of the first ones.
     std::vector<int> mTasks;
     std::vector<TaskAnswer> mAnswers;
     std::size_t mBytes = 0;
   };
   using AnswerBatchPtr = std::shared_ptr<AnswerBatch>;
 
-  // Stores the answers of finished tasks in batches, and ends the job after the last.
+  // Stores the next batch of answers of finished tasks. Ends the job once all answers are stored.
   void CollectAnswers(ManagedJob& aJob, const GangStatus& aStatus);
-  void NoteFinished(ManagedJob& aJob, const GangStatus& aStatus);
-  // Keeps the run time of a job that ends well for the next plan.
+  void RecordFinishTime(ManagedJob& aJob, const GangStatus& aStatus);
+  // Queues the run time of a finished job for the run-time history, which the next plan updates.
   void LearnRunTime(const ManagedJob& aJob);
-  // Fetches the next answer of the batch, or stores those that were fetched.
+  // Fetches the next answer of the batch, or stores the fetched ones if the batch is full.
   void FetchAnswers(const AnswerBatchPtr& aBatch);
-  // Stores what was fetched. After a failed fetch the rest is tried again later.
+  // Stores the fetched answers. After a failed fetch the remaining ones are retried later.
   void StoreAnswers(const AnswerBatchPtr& aBatch, std::error_code aFetchError);
   void OnCollected(const AnswerBatch& aBatch, std::error_code aError,
                    const std::vector<AnswerInfo>& aInfos);
 
   // Plans (CoordinatorPlans.h).
   void OnTick();
-  void PlanSoon();
+  void SchedulePlan();
   void MakePlan();
   void Execute(const placement::Plan& aPlan);
-  static std::string Cause(const ManagedJob& aJob);
-  void NoteWaiting(const placement::WaitingJob& aWaiting);
+  static std::string LastErrorSuffix(const ManagedJob& aJob);
+  void RecordWaitReason(const placement::WaitingJob& aWaiting);
   void Reclaim(const placement::Reclaim& aReclaim);
   void ReleaseService(const LeaseId& aLease, Duration aDeadline);
   void GrantService(const placement::ServiceGrant& aGrant);
-  // Requests of a replica that isn't needed any more may end in their own time.
+  // The time that a replica which is no longer needed has to complete its requests.
   Duration ReleaseDeadline() const { return mTimes.mGang.mRunningTtl; }
 
   struct Failure
@@ -243,31 +247,32 @@
   AttemptReleases<Api> mAttempts;
   ManagedJobs mJobs;
   WorkerJobs mWorkerJobs;
-  // Jobs with a change at one of their workers since the last check.
-  std::set<JobId> mChanged;
+  // Jobs of which a worker changed since the last check.
+  std::set<JobId> mChangedJobs;
   placement::PlannerState mState;
   placement::Plan mLastPlan;
   std::vector<Failure> mFailures;
   std::vector<WorkerId> mSuccesses;
   std::vector<FinishedJob> mRunTimes;
   std::uint64_t mLearned = 0;
-  // Start tokens of attempts whose commit is uncertain and that were never started.
+  // Start tokens of attempts of which the commit failed or has an unknown outcome, and that no
+  // worker was told to start.
   std::set<std::string> mUnsentStarts;
   std::function<void()> mOnFenced;
   Timer mRenewTimer;
   Timer mRelistTimer;
   Timer mPlanTimer;
-  Timer mPlanSoon;
-  Timer mCheckSoon;
+  Timer mPlanDelayTimer;
+  Timer mCheckDelayTimer;
   RetryQueue mRetries;
-  // Whether a listing of records is under way or waits to be made again.
+  // Whether a listing of records is in progress or queued for a retry.
   bool mListing = false;
-  // Grows with each change of the role, so that callbacks of a former term have no effect.
+  // Incremented with each change of the role, so that callbacks of a former term have no effect.
   std::uint64_t mTerm = 0;
   bool mActive = false;
   bool mRecordsLoaded = false;
   bool mComplete = false;
-  // A plan was due while the one before was in progress.
+  // Whether a plan was requested while another was being computed.
   bool mPlanAgain = false;
   PlanThread mPlanThread;
 };
--- a/src/jobs/JobError.h
+++ b/src/jobs/JobError.h
@@ -9,17 +9,17 @@
 {
   // The key-value service is unavailable; nothing was changed.
   StoreUnavailable = 1,
-  // The key-value service took the write or not; it can't be told now.
+  // A write to the key-value service may or may not have taken effect.
   OutcomeUnknown,
   // Another node changed the record first.
   Conflict,
-  // No such job.
+  // There is no such job.
   NotFound,
-  // The idempotency key was used before with another job.
+  // The idempotency key was used before for a different job.
   KeyReused,
-  // The job has no complete answer (yet).
+  // A piece of the answer is missing in the store.
   NoAnswer,
-  // The record or an answer in the store is damaged.
+  // The stored record can't be parsed.
   BadRecord,
 };
 
@@ -29,7 +29,7 @@
 std::error_code
 make_error_code(JobError aError);
 
-// Translates an error of the key-value service.
+// Converts an error of the key-value service to a JobError.
 std::error_code
 FromKvError(std::error_code aError);
 
--- a/src/jobs/JobRecord.cpp
+++ b/src/jobs/JobRecord.cpp
@@ -56,7 +56,7 @@
   return Ran::Partly;
 }
 
-// Members whose order and type are as written by WriteJobRecord().
+// Reads the array members that WriteJobRecord() writes.
 void
 ReadArrays(const Json& aJson, JobRecord& aRecord)
 {
@@ -116,7 +116,7 @@
 }
 
 LeaseId
-TaskLease(const JobRecord& aRecord, int aTask)
+TaskLeaseId(const JobRecord& aRecord, int aTask)
 {
   return LeaseId(aRecord.mJob.Value() + "." + aRecord.mStartToken + "." + std::to_string(aTask));
 }
@@ -124,7 +124,8 @@
 JobId
 MakeJobId(const AccountId& aAccount, std::string_view aIdempotencyKey)
 {
-  // 128 bits of a cryptographic hash: an account can't guess or collide with another's jobs.
+  // 128 bits of a cryptographic hash, so that an account can neither guess nor collide with the job
+  // ids of another.
   constexpr std::size_t kIdLength = 32;
   std::string text = aAccount.Value();
   text += '\n';
--- a/src/jobs/JobRecord.h
+++ b/src/jobs/JobRecord.h
@@ -13,24 +13,24 @@
 
 namespace lovagerock::jobs {
 
-// The durable state of a job. Whether a started job still runs is known by its workers.
+// The stored state of a job. Only the workers know whether a started job still runs.
 enum class JobState
 {
   // Waits for capacity.
   Pending,
   // An attempt was committed; its tasks are starting or running.
   Started,
-  // Ended with a whole answer.
+  // Ended with the answers of all tasks.
   Finished,
-  // Ended with an error of its tasks, or can never run.
+  // Ended with an error of a task, or refused by the planner because it can never run.
   Failed,
-  // Ended at its caller's wish.
+  // Cancelled at the caller's request.
   Cancelled,
-  // A non-idempotent job whose attempt was cut short; it isn't run again.
+  // A non-idempotent job whose attempt ended early; it is not run again.
   Interrupted,
 };
 
-// Whether the job ran, as told to its caller.
+// Whether the job ran, as reported to its caller.
 enum class Ran
 {
   No,
@@ -46,12 +46,12 @@
   bool mGuaranteed = false;
 };
 
-// The stored answer of one task.
+// Metadata of the stored answer of one task.
 struct AnswerInfo
 {
   std::int64_t mBytes = 0;
   int mPieces = 0;
-  // Hash of the whole answer, checked when it is read back.
+  // Hash of the complete answer.
   std::uint64_t mHash = 0;
 };
 
@@ -62,9 +62,10 @@
   RegionId mRegion;
   AccountId mAccount;
   JobSpec mSpec;
-  // Hash of the submitted job, to tell a retried submission from another job under the same key.
+  // Hash of the submitted job, to tell a retried submission from a different job under the same
+  // key.
   std::uint64_t mDigest = 0;
-  // Wall clock, in milliseconds since 1970.
+  // Wall clock times, in milliseconds since the Unix epoch.
   std::int64_t mSubmittedMs = 0;
   std::int64_t mEndedMs = 0;
   JobState mState = JobState::Pending;
@@ -72,18 +73,20 @@
   // Part of the attempt's lease ids, so that starts by two planners never share a lease.
   std::string mStartToken;
   std::vector<TaskPlacement> mPlacements;
-  // One checkpoint for each task; empty while there is none.
+  // The last checkpoint of each task, empty if it has none. The vector is empty until an attempt
+  // was stopped.
   std::vector<std::string> mCheckpoints;
-  // Workers on which an attempt failed by itself.
+  // Workers on which a task failed with an error of its own.
   std::vector<WorkerId> mFailedWorkers;
   bool mCancelRequested = false;
   Ran mRan = Ran::No;
   std::string mError;
   std::vector<AnswerInfo> mAnswers;
-  // Unique for each write, so that a writer whose answer was lost can recognize its own.
+  // Unique for each write, so that a writer that got no response can tell whether its write took
+  // effect.
   std::string mWriteToken;
 
-  // Version in the store; not part of the value.
+  // The version of the entry in the store; not part of its value.
   kv::ModifyIndex mModifyIndex = 0;
 
   bool IsDone() const;
@@ -94,18 +97,18 @@
 std::string_view
 RanName(Ran aRan);
 
-// The lease id of one task of the record's current attempt.
+// Returns the lease id of one task of the record's current attempt.
 LeaseId
-TaskLease(const JobRecord& aRecord, int aTask);
+TaskLeaseId(const JobRecord& aRecord, int aTask);
 
-// The job id of a caller's idempotency key.
+// Returns the job id for an account's idempotency key.
 JobId
 MakeJobId(const AccountId& aAccount, std::string_view aIdempotencyKey);
 
 std::string
 WriteJobRecord(const JobRecord& aRecord);
 
-// Reads a stored record; nothing if it is damaged.
+// Parses a stored record. Returns nullopt if it is damaged.
 std::optional<JobRecord>
 ReadJobRecord(const kv::Entry& aEntry);
 
--- a/src/jobs/JobReplies.cpp
+++ b/src/jobs/JobReplies.cpp
@@ -109,10 +109,10 @@
 }
 
 Duration
-ReadWait(const std::string& aText, Duration aLongest)
+ReadWait(const std::string& aText, Duration aMax)
 {
   const auto wait = Duration(detail::ParseNumber<std::int64_t>(aText).value_or(0));
-  return std::clamp(wait, Duration(0), aLongest);
+  return std::clamp(wait, Duration(0), aMax);
 }
 
 std::optional<int>
--- a/src/jobs/JobReplies.h
+++ b/src/jobs/JobReplies.h
@@ -12,11 +12,12 @@
 
 namespace lovagerock::jobs {
 
-// The JSON description of a job for its caller.
+// Returns the JSON description of a job for its caller.
 std::string
 DescribeJob(const JobRecord& aRecord);
 
-// A refusal with its machine-readable error, whether the job ran, and whether a retry makes sense.
+// Builds an error response with a machine-readable error code, a message, whether the job ran, and
+// whether a retry makes sense.
 http::Response
 RefuseJob(int aStatus, std::string_view aError, std::string_view aMessage, std::string_view aRan,
           bool aRetry);
@@ -24,19 +25,22 @@
 http::Response
 RefuseUnauthorized();
 
-// Lists the problems of a submitted job.
+// Builds the error response for a submitted job with the given problems.
 http::Response
 RefuseSpec(const std::vector<SpecProblem>& aProblems);
 
-// The refusal for a JobError.
+// Builds the error response for a JobError. aRan is reported only if the store is unavailable; with
+// other errors it is unknown whether the job ran.
 http::Response
 RefuseForError(std::error_code aError, std::string_view aRan);
 
-// Reads a waiting time in milliseconds, cut to the longest one; 0 if absent or malformed.
+// Parses a waiting time in milliseconds and clamps it to [0, aMax]. Returns 0 if it is empty or
+// malformed.
 Duration
-ReadWait(const std::string& aText, Duration aLongest);
+ReadWait(const std::string& aText, Duration aMax);
 
-// Reads a task number; an absent one means task 0 of a single-task job. Nothing if it is invalid.
+// Parses a task number. An empty text means task 0 of a single-task job. Returns nullopt if it is
+// invalid.
 std::optional<int>
 ReadTask(const std::string& aText, int aTasks);
 
--- a/src/jobs/JobSpec.cpp
+++ b/src/jobs/JobSpec.cpp
@@ -17,7 +17,7 @@
 constexpr std::int64_t kMaxEstimateMs = std::int64_t{ 365 } * 24 * 3600 * 1000;
 constexpr std::int64_t kMaxAmount = 1'000'000'000;
 
-// Reads members of one object and collects problems under their field path.
+// Reads the members of one JSON object and reports problems under the path of the field.
 class MemberReader
 {
 public:
--- a/src/jobs/JobSpec.h
+++ b/src/jobs/JobSpec.h
@@ -11,12 +11,12 @@
 
 namespace lovagerock::jobs {
 
-// The largest gang.
+// The largest number of tasks in a gang.
 inline constexpr int kMaxTasks = 512;
-// The payloads of all tasks of a job together; a record must fit into one value of the store.
+// The largest total size of a job's payloads; its record must fit into one value of the store.
 inline constexpr Bytes kMaxPayload{ 512 * 1024 };
 
-// A job as its caller described it.
+// A job as its caller specified it.
 struct JobSpec
 {
   int mTasks = 1;
@@ -24,24 +24,24 @@
   Adjacency mAdjacency = Adjacency::Region;
   bool mUrgent = false;
   bool mIdempotent = true;
-  // The caller's estimate of the run time; often far off.
+  // The caller's estimate of the run time, which is often far off; 0 if none was given.
   Duration mEstimate{ 0 };
   // One payload for all tasks, or one for each task.
   std::vector<std::string> mPayloads;
 
-  // The payload of one task.
+  // Returns the payload of one task.
   const std::string& PayloadOf(int aTask) const;
 };
 
-// A member of a submitted job that is missing or invalid.
+// A missing, unknown or invalid field of a submitted job.
 struct SpecProblem
 {
   std::string mField;
   std::string mMessage;
 };
 
-// Reads a job from a caller's JSON. Unknown members are problems, so that a misspelled option is
-// not silently ignored. Gives nothing if there is any problem.
+// Reads a job from a caller's JSON. Reports unknown fields as problems, so that a misspelled option
+// is not silently ignored. Returns nullopt if there is any problem.
 std::optional<JobSpec>
 ReadJobSpec(const Json& aJson, std::vector<SpecProblem>& aProblems);
 
--- a/src/jobs/JobStore.h
+++ b/src/jobs/JobStore.h
@@ -13,8 +13,9 @@
 
 namespace lovagerock::jobs {
 
-// Reads and writes job records. Every change is a compare-and-swap on the record's version. When
-// the answer of a write is lost, the record is read back and recognized by its write token.
+// Reads and writes job records. Every change of a record is a compare-and-swap on its version; the
+// deletion of a done record is not. When the outcome of a write is unknown, the record is read back
+// and its write token tells whether the write took effect.
 template<kv::KeyValueStore Store>
 class JobStore
 {
@@ -30,8 +31,8 @@
   {
   }
 
-  // Creates the record of a new job. If the job exists already its record is given instead;
-  // KeyReused if that is another job under the same key.
+  // Creates the record of a new job. If the job exists already, passes its record to the callback,
+  // with the error KeyReused if it is a different job under the same key.
   void Submit(JobRecord aRecord, RecordCallback aCallback)
   {
     aRecord.mRegion = mRegion;
@@ -48,7 +49,7 @@
     });
   }
 
-  // Reads a job, live or done. NotFound if there is none.
+  // Reads the record of a live or done job. Fails with NotFound if there is none.
   void Load(const JobId& aJob, RecordCallback aCallback)
   {
     mStore.Get(LiveKey(aJob),
@@ -61,7 +62,7 @@
                });
   }
 
-  // Reads all live records of the region. Damaged ones are left out.
+  // Reads all live records of the region. Skips damaged ones.
   void ListLive(RecordsCallback aCallback)
   {
     mStore.List("jobs/" + mRegion.Value() + "/",
@@ -80,7 +81,7 @@
   void ListLiveIds(IdsCallback aCallback)
   {
     const auto prefix = "jobs/" + mRegion.Value() + "/";
-    mStore.ListNames(prefix, "/", kMaxIds,
+    mStore.ListNames(prefix, "/", kMaxIdListBytes,
                      [prefix, aCallback](std::error_code aError, const kv::NameList& aNames) {
                        std::vector<JobId> ids;
                        for (const auto& it : aNames.mNames) {
@@ -90,13 +91,13 @@
                      });
   }
 
-  // Replaces a live record whose version is the record's. Conflict if it was changed meanwhile.
+  // Replaces a live record. Fails with Conflict if its version is no longer that of aRecord.
   void Update(JobRecord aRecord, RecordCallback aCallback)
   {
     Write(std::move(aRecord), {}, std::move(aCallback));
   }
 
-  // Moves a live record to the done ones as a whole.
+  // Moves a live record to the done records in one transaction.
   void MoveToDone(JobRecord aRecord, RecordCallback aCallback)
   {
     aRecord.mWriteToken = mRandom.Token();
@@ -108,7 +109,7 @@
     Apply(std::move(operations), 1, aRecord, std::move(aCallback));
   }
 
-  // Waits until the job is done or the time is over, then reads it.
+  // Waits until the job is done or aWait has passed, then reads its record.
   void AwaitDone(const JobId& aJob, Duration aWait, RecordCallback aCallback)
   {
     mStore.Watch(DoneKey(aJob), 0, aWait,
@@ -133,8 +134,8 @@
   }
 
 private:
-  // About 60,000 ids.
-  static constexpr Bytes kMaxIds{ 4 * 1024 * 1024 };
+  // Room for about 60,000 ids.
+  static constexpr Bytes kMaxIdListBytes{ 4 * 1024 * 1024 };
 
   std::string LiveKey(const JobId& aJob) const
   {
@@ -173,7 +174,7 @@
     aRecord.mModifyIndex = 0;
     Write(aRecord, {}, [this, aRecord, aCallback](std::error_code aError, JobRecord aWritten) {
       if (aError == make_error_code(JobError::Conflict)) {
-        // Another node created it between the read and the write.
+        // Another node created the record between the read and the write.
         Submit(aRecord, aCallback);
         return;
       }
@@ -191,7 +192,8 @@
     Apply(std::move(operations), 0, std::move(aRecord), std::move(aCallback));
   }
 
-  // Applies the operations; aRecordAt is the position of the one that writes the record.
+  // Applies the operations in one transaction. aRecordAt is the index of the operation that writes
+  // the record.
   void Apply(std::vector<kv::Operation> aOperations, std::size_t aRecordAt, JobRecord aRecord,
              RecordCallback aCallback)
   {
@@ -200,7 +202,7 @@
                                                         const kv::TransactionResult& aResult) {
       const auto ec = FromKvError(aError);
       if (ec == make_error_code(JobError::OutcomeUnknown)) {
-        SettleWrite(aRecord, aCallback);
+        ResolveWrite(aRecord, aCallback);
         return;
       }
       auto written = aRecord;
@@ -212,7 +214,8 @@
     });
   }
 
-  void SettleWrite(const JobRecord& aRecord, RecordCallback aCallback)
+  // Reads the record back to find out whether a write took effect.
+  void ResolveWrite(const JobRecord& aRecord, RecordCallback aCallback)
   {
     Load(aRecord.mJob, [aRecord, aCallback](std::error_code aError, JobRecord aFound) {
       if (!aError) {
--- a/src/jobs/ManagedJob.h
+++ b/src/jobs/ManagedJob.h
@@ -10,16 +10,16 @@
 
 namespace lovagerock::jobs {
 
-// Where a live job stands at its planner.
+// The phase of a live job as its planner sees it.
 enum class JobPhase
 {
   Queued,
   // A gang start is in progress.
   Starting,
   Running,
-  // All tasks were told to stop, and some may still run.
+  // All workers were told to stop their tasks; some may still run.
   Stopping,
-  // The record is being written; nothing else happens until then.
+  // The record is being written; the job is left alone until that has ended.
   Writing,
 };
 
@@ -30,12 +30,12 @@
   Cancelled,
   Reclaimed,
   TaskFailed,
-  // A lease lapsed, or its worker was lost or restarted.
+  // A lease expired, or its worker was lost or restarted.
   TaskLost,
   StartFailed,
 };
 
-// The name used in logs and job errors.
+// Returns the name used in logs and job errors.
 constexpr const char*
 StopReasonName(StopReason aReason)
 {
@@ -56,30 +56,30 @@
   return "none";
 }
 
-// A live job at its planner.
+// The planner's state of a live job.
 struct ManagedJob
 {
   JobRecord mRecord;
   JobPhase mPhase = JobPhase::Queued;
   StopReason mStopReason = StopReason::None;
-  // Errors of the tasks, kept for the caller.
+  // The last error of a task, reported to the caller if the job fails.
   std::string mError;
-  // When the job entered the queue and when its attempt started, on the monotonic clock.
+  // When the job was submitted and when its attempt started, on the monotonic clock.
   TimePoint mQueuedAt;
   TimePoint mStartedAt;
   // Whether this planner started the attempt; if not, mStartedAt is when it took the job over.
-  bool mStartSeen = false;
-  // When all tasks of the attempt were first seen to have finished.
+  bool mStartedHere = false;
+  // When all tasks of the attempt were first reported as finished.
   std::optional<TimePoint> mFinishedAt;
-  // The job isn't planned before this time, after a start that was not possible.
+  // The job is not planned before this time; set after a failed reservation.
   TimePoint mNotBefore;
   GangObservation mObservation;
-  // One entry for each task; set once the answer is stored.
+  // One entry for each task, set once its answer is stored.
   std::vector<std::optional<AnswerInfo>> mAnswers;
-  // Whether the collection of an answer is in progress.
+  // Whether a batch of answers is being collected or queued for a retry.
   bool mCollecting = false;
   bool mReclaimable = true;
-  // Why the job waits, from the last plan.
+  // Why the job waits, from the last plan that reported a reason.
   std::string mWaitReason;
   std::string mWaitDetail;
 };
--- a/src/jobs/PlanThread.h
+++ b/src/jobs/PlanThread.h
@@ -13,8 +13,8 @@
 
 namespace lovagerock::jobs {
 
-// Computes plans on a thread of its own, because a plan of a large cluster would hold up the
-// requests on the loop. At most one plan is in progress.
+// Computes plans on a separate thread, because the plan of a large cluster would block the requests
+// on the event loop. Computes at most one plan at a time.
 class PlanThread
 {
 public:
@@ -25,7 +25,7 @@
   PlanThread(const PlanThread&) = delete;
   PlanThread& operator=(const PlanThread&) = delete;
 
-  // Computes a plan and calls back on the loop. Must not be called while a plan is in progress.
+  // Computes a plan and calls aCallback on the event loop. Must not be called while IsBusy().
   void
   Compute(placement::ClusterSnapshot aSnapshot, placement::PlannerState aState, Callback aCallback);
   bool IsBusy() const { return mBusy; }
@@ -45,9 +45,9 @@
   std::condition_variable mChanged;
   std::optional<Work> mWork;
   bool mStopping = false;
-  // Used on the loop only.
+  // Accessed on the event loop's thread only.
   bool mBusy = false;
-  // Tells callbacks on their way to the loop whether the object still exists.
+  // Tells callbacks that are queued on the event loop whether this object still exists.
   std::shared_ptr<bool> mAlive = std::make_shared<bool>(true);
   std::thread mThread;
 };
--- a/src/jobs/RetryQueue.cpp
+++ b/src/jobs/RetryQueue.cpp
@@ -5,12 +5,12 @@
 
 namespace lovagerock::jobs {
 
-RetryQueue::RetryQueue(EventLoop& aLoop, Random& aRandom, Duration aFirst, Duration aCap)
+RetryQueue::RetryQueue(EventLoop& aLoop, Random& aRandom, Duration aFirstDelay, Duration aMaxDelay)
   : mLoop(aLoop)
   , mRandom(aRandom)
-  , mFirst(aFirst)
-  , mCap(aCap)
-  , mDelay(aFirst)
+  , mFirstDelay(aFirstDelay)
+  , mMaxDelay(aMaxDelay)
+  , mDelay(aFirstDelay)
 {
 }
 
@@ -18,7 +18,7 @@
 RetryQueue::Add(Task aTask)
 {
   mTasks.push_back(std::move(aTask));
-  mAnswers = false;
+  mAvailable = false;
   mFailed = true;
   if (!mTimer.IsPending()) {
     Arm(mRandom.Jitter(mDelay));
@@ -28,8 +28,8 @@
 void
 RetryQueue::OnSuccess()
 {
-  mDelay = mFirst;
-  if (!std::exchange(mAnswers, true) && !mTasks.empty()) {
+  mDelay = mFirstDelay;
+  if (!std::exchange(mAvailable, true) && !mTasks.empty()) {
     Arm(kBatchPeriod);
   }
 }
@@ -39,7 +39,7 @@
 {
   mTimer.Cancel();
   mTasks.clear();
-  mDelay = mFirst;
+  mDelay = mFirstDelay;
 }
 
 void
@@ -51,17 +51,18 @@
 void
 RetryQueue::Run()
 {
-  // A task that made no call, or has no answer yet, must not hold the others up.
+  // If no failure was reported since the last retries (the retried task made no call, or its call
+  // is still open), the other tasks must not wait for it.
   const bool failed = std::exchange(mFailed, false);
-  mDelay = failed && !mAnswers ? std::min(2 * mDelay, mCap) : mFirst;
+  mDelay = failed && !mAvailable ? std::min(2 * mDelay, mMaxDelay) : mFirstDelay;
   std::deque<Task> due;
-  const auto n = std::min(mTasks.size(), failed && !mAnswers ? 1 : kBatch);
+  const auto n = std::min(mTasks.size(), failed && !mAvailable ? 1 : kBatchSize);
   for (std::size_t i = 0; i < n; ++i) {
     due.push_back(std::move(mTasks.front()));
     mTasks.pop_front();
   }
   if (!mTasks.empty()) {
-    Arm(mAnswers ? kBatchPeriod : mRandom.Jitter(mDelay));
+    Arm(mAvailable ? kBatchPeriod : mRandom.Jitter(mDelay));
   }
   for (const auto& it : due) {
     it();
--- a/src/jobs/RetryQueue.h
+++ b/src/jobs/RetryQueue.h
@@ -9,25 +9,26 @@
 
 namespace lovagerock::jobs {
 
-// Calls to the key-value service that failed and are made again. While the service is down, one of
-// them tries it after a jittered delay that doubles up to a cap. After a success the others follow
-// a few at a time, so that a service that returns isn't hit by all of them at once. Belongs to its
-// loop.
+// Retries failed calls to the key-value service. While the service is down, it retries one call at
+// a time after a jittered delay that doubles up to a cap. After a success it retries the others in
+// small batches, so that a recovering service does not get all of them at once. Must be used on its
+// event loop's thread only.
 class RetryQueue
 {
 public:
   using Task = std::function<void()>;
 
-  // The tasks made again in each period after a success: 200 a second.
-  static constexpr std::size_t kBatch = 4;
+  // The number of tasks retried in each period after a success: 200 a second.
+  static constexpr std::size_t kBatchSize = 4;
   static constexpr Duration kBatchPeriod{ 20 };
 
-  // The delay lies between half of its upper bound and the bound, which starts with aFirst.
-  RetryQueue(EventLoop& aLoop, Random& aRandom, Duration aFirst, Duration aCap);
+  // The delay lies between half of its upper bound and the bound, which grows from aFirstDelay to
+  // aMaxDelay.
+  RetryQueue(EventLoop& aLoop, Random& aRandom, Duration aFirstDelay, Duration aMaxDelay);
 
-  // Queues a task after a failure.
+  // Queues a task whose call failed.
   void Add(Task aTask);
-  // A call succeeded.
+  // Must be called after each successful call to the service.
   void OnSuccess();
   // Drops all tasks.
   void Clear();
@@ -38,12 +39,12 @@
 
   EventLoop& mLoop;
   Random& mRandom;
-  Duration mFirst;
-  Duration mCap;
+  Duration mFirstDelay;
+  Duration mMaxDelay;
   Duration mDelay;
-  // Whether the service answered since the last failure.
-  bool mAnswers = false;
-  // Whether a call failed since the last tasks were made again.
+  // Whether a call has succeeded since the last failure.
+  bool mAvailable = false;
+  // Whether a call has failed since the last retries.
   bool mFailed = false;
   std::deque<Task> mTasks;
   Timer mTimer;
--- a/src/jobs/ServiceLeases.h
+++ b/src/jobs/ServiceLeases.h
@@ -11,8 +11,8 @@
 
 namespace lovagerock::jobs {
 
-// Grants and releases the leases of service replicas as the plan says. The workers' states are
-// the only record of them.
+// Grants and releases the leases of service replicas according to the plan. They are recorded in
+// the workers' states only.
 template<workers::WorkerApi Api>
 class ServiceLeases
 {
@@ -23,8 +23,8 @@
   {
   }
 
-  // Reserves and starts one replica. A lost answer leaves a lease that lapses or shows up in the
-  // worker's state, where the next plan sees it.
+  // Reserves and starts one replica. If a response is lost, the lease expires or appears in the
+  // worker's state, which the next plan takes into account.
   void Grant(const placement::ServiceGrant& aGrant, bool aIdempotent,
              const workers::WorkerView& aWorker, const workers::Fence& aFence, Duration aTtl)
   {
@@ -56,7 +56,8 @@
                  });
   }
 
-  // Stops a replica: it takes no new requests, and those in progress may go on until the deadline.
+  // Stops a replica: it accepts no new requests, and requests in progress may continue until the
+  // deadline.
   void Release(const LeaseId& aLease, const SocketAddress& aWorker, const workers::Fence& aFence,
                Duration aDeadline)
   {
@@ -71,8 +72,8 @@
     });
   }
 
-  // Frees replicas that have ended, and forgets releases of leases that are gone.
-  void Clean(const workers::WorkerView& aView, const workers::Fence& aFence)
+  // Releases the leases of replicas that have ended on the worker.
+  void ReleaseEnded(const workers::WorkerView& aView, const workers::Fence& aFence)
   {
     for (const auto& it : aView.mState->mLeases) {
       const bool ended = it.mPhase == workers::LeasePhase::Stopped ||
@@ -88,6 +89,7 @@
 private:
   Api& mApi;
   Random& mRandom;
+  // Leases of replicas that were told to stop.
   std::set<LeaseId> mReleasing;
 };
 
--- a/src/jobs/SnapshotBuilder.cpp
+++ b/src/jobs/SnapshotBuilder.cpp
@@ -38,9 +38,9 @@
   }
 }
 
-// Adds what only the job's record knows of a task.
+// Adds what the planner knows about a task's job and the worker's state does not contain.
 void
-AddJobFacts(const ManagedJob& aJob, int aTask, placement::LeaseView& aLease)
+AddJobDetails(const ManagedJob& aJob, int aTask, placement::LeaseView& aLease)
 {
   const auto& record = aJob.mRecord;
   const auto task = static_cast<std::size_t>(aTask);
@@ -71,7 +71,7 @@
   lease.mTask = aState.mTask;
   const auto it = aJobs.find(aState.mJob);
   if (it != aJobs.end()) {
-    AddJobFacts(it->second, aState.mTask, lease);
+    AddJobDetails(it->second, aState.mTask, lease);
   }
   return lease;
 }
@@ -80,14 +80,14 @@
 FromPlacement(const ManagedJob& aJob, int aTask)
 {
   placement::LeaseView lease;
-  lease.mLease = TaskLease(aJob.mRecord, aTask);
+  lease.mLease = TaskLeaseId(aJob.mRecord, aTask);
   lease.mJob = aJob.mRecord.mJob;
   lease.mAccount = aJob.mRecord.mAccount;
   lease.mResources = aJob.mRecord.mSpec.mPerTask;
   lease.mPhase = placement::LeasePhase::Reserved;
   lease.mIdempotent = aJob.mRecord.mSpec.mIdempotent;
   lease.mTask = aTask;
-  AddJobFacts(aJob, aTask, lease);
+  AddJobDetails(aJob, aTask, lease);
   return lease;
 }
 
@@ -152,7 +152,7 @@
     for (std::size_t i = 0; i < job.mRecord.mPlacements.size(); ++i) {
       const auto task = static_cast<int>(i);
       const auto it = positions.find(job.mRecord.mPlacements[i].mWorker);
-      if (it != positions.end() && !known.contains(TaskLease(job.mRecord, task))) {
+      if (it != positions.end() && !known.contains(TaskLeaseId(job.mRecord, task))) {
         snapshot.mWorkers[it->second].mLeases.push_back(detail::FromPlacement(job, task));
       }
     }
--- a/src/jobs/SnapshotBuilder.h
+++ b/src/jobs/SnapshotBuilder.h
@@ -9,7 +9,7 @@
 
 namespace lovagerock::jobs {
 
-// What the configuration in force says to the planner.
+// The planner's input from the configuration in force.
 struct PolicyInput
 {
   std::vector<placement::AccountView> mAccounts;
@@ -17,11 +17,11 @@
   placement::PolicyWeights mWeights;
 };
 
-// The live jobs of a planner.
+// The live jobs of a planner, by job id.
 using ManagedJobs = std::map<JobId, ManagedJob>;
 
-// Builds the planner's input. Reservations of starts in progress count although the workers'
-// states don't show them yet.
+// Builds the planner's input. Includes reservations of starts in progress that the workers' states
+// do not report yet.
 placement::ClusterSnapshot
 BuildSnapshot(const PolicyInput& aPolicy, const WorkerViews& aViews, const ManagedJobs& aJobs,
               bool aComplete, TimePoint aNow);
--- a/src/jobs/WorkerJobs.cpp
+++ b/src/jobs/WorkerJobs.cpp
@@ -40,7 +40,7 @@
 }
 
 const std::set<JobId>&
-WorkerJobs::On(const WorkerId& aWorker) const
+WorkerJobs::JobsOn(const WorkerId& aWorker) const
 {
   static const std::set<JobId> kNone;
   const auto it = mJobs.find(aWorker);
--- a/src/jobs/WorkerJobs.h
+++ b/src/jobs/WorkerJobs.h
@@ -8,18 +8,18 @@
 
 namespace lovagerock::jobs {
 
-// Which jobs have tasks placed on which workers, so that a change of one worker needs no look at
-// the placements of all jobs.
+// Index of the jobs that have tasks placed on each worker, so that a change of one worker does not
+// require a scan of all placements.
 class WorkerJobs
 {
 public:
-  // Replaces the workers of a job by those of the placements, which may be none.
+  // Replaces the workers of a job by those of the placements, which may be empty.
   void Set(const JobId& aJob, const std::vector<TaskPlacement>& aPlacements);
   void Remove(const JobId& aJob);
   void Clear();
 
-  // The jobs placed on the worker.
-  const std::set<JobId>& On(const WorkerId& aWorker) const;
+  // Returns the jobs that have tasks placed on the worker.
+  const std::set<JobId>& JobsOn(const WorkerId& aWorker) const;
 
 private:
   std::unordered_map<WorkerId, std::set<JobId>> mJobs;
--- a/tests/jobs/CoordinatorTests.cpp
+++ b/tests/jobs/CoordinatorTests.cpp
@@ -8,7 +8,7 @@
   Cluster cluster(2);
   Planner planner(cluster, "n1");
   planner.mCoordinator.Activate();
-  const auto job = cluster.Submit(cluster.Job("k", 12, kShort));
+  const auto job = cluster.Submit(cluster.Job("k", 12, kShortPayload));
   planner.mCoordinator.OnJobChanged(job.mJob);
   const auto done = cluster.UntilDone(job.mJob);
   cr_assert_eq(done.mState, JobState::Finished);
@@ -17,16 +17,16 @@
   cr_assert_eq(TotalStarts(cluster), 12);
 }
 
-// Guards against parts of a gang that run although one member could not be reserved.
-Test(JobCoordinator, starts_no_part_of_a_gang_that_does_not_fit)
+// Guards against tasks of a gang being started although one of them could not be reserved.
+Test(JobCoordinator, starts_no_task_of_a_gang_that_cannot_be_fully_reserved)
 {
   Cluster cluster(2);
   Planner planner(cluster, "n1");
   cluster.SetFaults(1, R"({"freeze":true})");
   planner.mCoordinator.Activate();
-  const auto job = cluster.Submit(cluster.Job("k", 16, kShort));
+  const auto job = cluster.Submit(cluster.Job("k", 16, kShortPayload));
   planner.mCoordinator.OnJobChanged(job.mJob);
-  // The frozen worker was seen live, so the first plan uses it.
+  // The frozen worker was reported live before, so the first plan uses it.
   cluster.Until([&] {
     const auto it = planner.mCoordinator.Jobs().find(job.mJob);
     return it != planner.mCoordinator.Jobs().end() && it->second.mNotBefore != TimePoint();
@@ -36,8 +36,9 @@
   cr_assert_eq(cluster.UntilDone(job.mJob).mState, JobState::Finished);
 }
 
-// Guards against an answer that is lost when the store is down at the job's end.
-Test(JobCoordinator, keeps_the_answer_through_an_outage_of_the_store)
+// Guards against losing the answer of a job, or running it again, when the store is down as the job
+// finishes.
+Test(JobCoordinator, keeps_the_answer_during_an_outage_of_the_store)
 {
   Cluster cluster(1);
   Planner planner(cluster, "n1");
@@ -54,15 +55,15 @@
   cr_assert_eq(TotalStarts(cluster), 1);
 }
 
-// Guards against answers of a batch that are lost or mixed up, and against tasks that run again,
-// when the outcome of a batch is unknown or the store goes down between two batches.
-Test(JobCoordinator, stores_batches_of_answers_through_lost_answers_and_an_outage)
+// Guards against losing or mixing up answers of a batch, and against running tasks again, when the
+// response to the write of a batch is lost or the store goes down after it.
+Test(JobCoordinator, stores_answer_batches_despite_lost_responses_and_an_outage)
 {
   for (const bool outage : { false, true }) {
     Cluster cluster(9);
     Planner planner(cluster, "n1");
     planner.mCoordinator.Activate();
-    auto record = cluster.Job("k", 70, kShort);
+    auto record = cluster.Job("k", 70, kShortPayload);
     record.mSpec.mPayloads.clear();
     for (int i = 0; i < 70; ++i) {
       record.mSpec.mPayloads.push_back(R"({"run_ms":300,"answer":"answer )" + std::to_string(i) +
@@ -96,19 +97,20 @@
   }
 }
 
-// Guards against a large gang that small ones pass for as long as they come.
+// Guards against starving a large gang that waits for the limit of concurrent starts: later small
+// gangs must not overtake it.
 Test(JobCoordinator, starts_no_gang_before_one_that_waits_for_the_limit)
 {
   Cluster cluster(2);
   CoordinatorTimes times;
   times.mMaxStartingTasks = 4;
   Planner planner(cluster, "n1", times);
-  // The reservations of the first gang stay open for a while.
+  // At frozen workers the reservation calls of the first gang stay open for a while.
   cluster.SetFaults(0, R"({"freeze":true})");
   cluster.SetFaults(1, R"({"freeze":true})");
-  const auto first = cluster.Submit(cluster.Job("k1", 2, kShort)).mJob;
-  const auto large = cluster.Submit(cluster.Job("k2", 5, kShort)).mJob;
-  const auto small = cluster.Submit(cluster.Job("k3", 2, kShort)).mJob;
+  const auto first = cluster.Submit(cluster.Job("k1", 2, kShortPayload)).mJob;
+  const auto large = cluster.Submit(cluster.Job("k2", 5, kShortPayload)).mJob;
+  const auto small = cluster.Submit(cluster.Job("k3", 2, kShortPayload)).mJob;
   planner.mCoordinator.Activate();
   const auto phase = [&](const JobId& aJob) { return planner.mCoordinator.Jobs().at(aJob).mPhase; };
   cluster.Until([&] { return planner.mCoordinator.Jobs().size() == 3; });
@@ -124,25 +126,26 @@
   }
 }
 
-// Guards against starts of many gangs at once, whose open calls took more memory than all else that
-// the planner keeps.
+// Guards against starting many gangs at once. Without a limit their open calls took more memory
+// than the rest of the planner's state.
 Test(JobCoordinator, limits_the_tasks_of_starts_in_progress)
 {
   Cluster cluster(2);
   CoordinatorTimes times;
   times.mMaxStartingTasks = 4;
   Planner planner(cluster, "n1", times);
-  // Reservations stay open for a while at a frozen worker, which was seen live.
+  // Reservation calls to the frozen workers, which were reported live before, stay open for a
+  // while.
   cluster.SetFaults(0, R"({"freeze":true})");
   cluster.SetFaults(1, R"({"freeze":true})");
   planner.mCoordinator.Activate();
   std::vector<JobId> jobs;
   for (const char* it : { "k1", "k2", "k3" }) {
-    jobs.push_back(cluster.Submit(cluster.Job(it, 4, kShort)).mJob);
+    jobs.push_back(cluster.Submit(cluster.Job(it, 4, kShortPayload)).mJob);
     planner.mCoordinator.OnJobChanged(jobs.back());
   }
-  // Larger than the limit; starts alone.
-  jobs.push_back(cluster.Submit(cluster.Job("k4", 5, kShort)).mJob);
+  // This gang is larger than the limit and starts alone.
+  jobs.push_back(cluster.Submit(cluster.Job("k4", 5, kShortPayload)).mJob);
   planner.mCoordinator.OnJobChanged(jobs.back());
   std::size_t refused = 0;
   cluster.Until([&] {
@@ -162,9 +165,9 @@
   }
 }
 
-// Guards against a change at a worker that reaches no job, because the index of workers misses an
-// attempt that was started, started again or adopted. Nothing else looks at the gangs here.
-Test(JobCoordinator, sees_the_end_of_each_attempt_by_changes_alone)
+// Guards against missing worker changes because WorkerJobs lacks an attempt that was started,
+// restarted or adopted. The long periods keep the plan and relist timers from checking the gangs.
+Test(JobCoordinator, detects_the_end_of_each_attempt_from_worker_changes_alone)
 {
   Cluster cluster(2);
   CoordinatorTimes times;
@@ -174,7 +177,7 @@
   Planner second(cluster, "n2", times);
   cluster.SetFaults(0, R"({"fail_all":true})");
   first.mCoordinator.Activate();
-  const auto again = cluster.Submit(cluster.Job("again", 8, kShort));
+  const auto again = cluster.Submit(cluster.Job("again", 8, kShortPayload));
   first.mCoordinator.OnJobChanged(again.mJob);
   cr_assert_eq(cluster.UntilDone(again.mJob).mState, JobState::Finished);
   cluster.SetFaults(0, R"({"fail_all":false})");
@@ -185,8 +188,8 @@
   cr_assert_eq(cluster.UntilDone(adopted.mJob).mState, JobState::Finished);
 }
 
-// Guards against predictions from run times that are too short: of attempts that went on from a
-// checkpoint, or that began under another planner.
+// Guards against predictions from run times that are too short: those of attempts that resumed from
+// a checkpoint or were started by another planner.
 Test(JobCoordinator, learns_run_times_of_first_attempts_that_it_started)
 {
   Cluster cluster(2);
@@ -196,7 +199,7 @@
   std::uint64_t firstAttempts = 0;
   for (const bool fails : { false, true }) {
     cluster.SetFaults(0, fails ? R"({"fail_all":true})" : R"({"fail_all":false})");
-    const auto job = cluster.Submit(cluster.Job(fails ? "fails" : "whole", 8, kShort));
+    const auto job = cluster.Submit(cluster.Job(fails ? "fails" : "whole", 8, kShortPayload));
     first.mCoordinator.OnJobChanged(job.mJob);
     const auto done = cluster.UntilDone(job.mJob);
     cr_assert_eq(done.mState, JobState::Finished);
@@ -212,31 +215,31 @@
   cr_assert_eq(second.mCoordinator.LearnedRunTimes(), 0);
 }
 
-// Guards against a task error that ends the caller's job although it may succeed elsewhere.
+// Guards against failing a job for a task error although it may succeed on another worker.
 Test(JobCoordinator, runs_a_failed_idempotent_job_on_another_worker)
 {
   Cluster cluster(2);
   Planner planner(cluster, "n1");
   cluster.SetFaults(0, R"({"fail_all":true})");
   planner.mCoordinator.Activate();
-  const auto job = cluster.Submit(cluster.Job("k", 8, kShort));
+  const auto job = cluster.Submit(cluster.Job("k", 8, kShortPayload));
   planner.mCoordinator.OnJobChanged(job.mJob);
   const auto done = cluster.UntilDone(job.mJob);
   cr_assert_eq(done.mState, JobState::Finished);
 }
 
-// Guards against a second run of a job that must run at most once.
+// Guards against running a job again that must run at most once.
 Test(JobCoordinator, does_not_run_an_interrupted_non_idempotent_job_again)
 {
   Cluster cluster(1);
   Planner planner(cluster, "n1");
   planner.mCoordinator.Activate();
-  auto record = cluster.Job("k", 2, kLong);
+  auto record = cluster.Job("k", 2, kLongPayload);
   record.mSpec.mIdempotent = false;
   const auto job = cluster.Submit(record);
   planner.mCoordinator.OnJobChanged(job.mJob);
   cluster.Until([&] { return planner.IsRunning(job.mJob); });
-  // The worker restarts and knows nothing of its former leases.
+  // The worker restarts without its former leases.
   const auto address = cluster.mWorkers[0]->Address();
   cluster.mWorkers[0].reset();
   standin::WorkerSettings settings;
@@ -253,19 +256,19 @@
   cr_assert_eq(TotalStarts(cluster), 2);
 }
 
-// Guards against a start by a planner that can't know whether its commit took effect, and against a
-// job that is called interrupted although its start was never sent.
+// Guards against a planner that starts tasks without knowing whether its commit took effect, and
+// against reporting a job as interrupted although no start was sent to a worker.
 Test(JobCoordinator, does_not_start_while_the_commit_is_uncertain)
 {
   Cluster cluster(1);
   Planner planner(cluster, "n1");
   planner.mCoordinator.Activate();
-  auto record = cluster.Job("k", 2, kShort);
+  auto record = cluster.Job("k", 2, kShortPayload);
   record.mSpec.mIdempotent = false;
   const auto job = cluster.Submit(record);
   cluster.mStore.GoDownAfterWrite();
   planner.mCoordinator.OnJobChanged(job.mJob);
-  // Reading the record fails from the uncertain commit on.
+  // The store goes down with the commit, so the record cannot be read back.
   const auto isUncertain = [&] {
     const auto it = planner.mCoordinator.Jobs().find(job.mJob);
     return it != planner.mCoordinator.Jobs().end() && it->second.mPhase == JobPhase::Writing;
@@ -279,13 +282,14 @@
   cr_assert_eq(TotalStarts(cluster), 2);
 }
 
-// Guards against a commit that is given up although the record shows that it is this planner's.
+// Guards against abandoning a commit whose response was lost, although the record read back has
+// this planner's write token.
 Test(JobCoordinator, starts_when_a_lost_commit_is_read_back)
 {
   Cluster cluster(1);
   Planner planner(cluster, "n1");
   planner.mCoordinator.Activate();
-  const auto job = cluster.Submit(cluster.Job("k", 2, kShort));
+  const auto job = cluster.Submit(cluster.Job("k", 2, kShortPayload));
   cluster.mStore.LoseAnswers(1);
   planner.mCoordinator.OnJobChanged(job.mJob);
   const auto done = cluster.UntilDone(job.mJob);
@@ -298,10 +302,10 @@
   Cluster cluster(1);
   Planner planner(cluster, "n1");
   planner.mCoordinator.Activate();
-  const auto running = cluster.Submit(cluster.Job("k1", 8, kLong));
+  const auto running = cluster.Submit(cluster.Job("k1", 8, kLongPayload));
   planner.mCoordinator.OnJobChanged(running.mJob);
   cluster.Until([&] { return planner.IsRunning(running.mJob); });
-  const auto queued = cluster.Submit(cluster.Job("k2", 8, kLong));
+  const auto queued = cluster.Submit(cluster.Job("k2", 8, kLongPayload));
   planner.mCoordinator.OnJobChanged(queued.mJob);
   cluster.Until([&] { return planner.mCoordinator.Jobs().contains(queued.mJob); });
   for (const auto& id : { queued.mJob, running.mJob }) {
@@ -320,7 +324,7 @@
   cr_assert_eq(cluster.Load(running.mJob).mRan, Ran::Partly);
 }
 
-// Guards against capacity that is held for ever by leases that no job wants.
+// Guards against capacity being held by orphaned leases, which belong to no job.
 Test(JobCoordinator, releases_leases_without_a_job)
 {
   Cluster cluster(1);
--- a/tests/jobs/JobApiTests.cpp
+++ b/tests/jobs/JobApiTests.cpp
@@ -10,7 +10,7 @@
 
 constexpr const char* kJob = R"({"resources":{"accelerators":1},"payload":{"answer":"42"}})";
 
-// The callers' endpoints with two accounts, "a" and "b", whose tokens are their names.
+// The callers' endpoints. Any token is accepted and is the name of its account, such as "a" or "b".
 struct Api
 {
   Cluster mCluster{ 1 };
@@ -93,7 +93,7 @@
   cr_assert_eq(api.Call(http::Method::Get, "/v1/jobs/" + job, "a").mStatus, 404);
 }
 
-// Guards against one account that reads or cancels another's jobs.
+// Guards against an account reading or cancelling the jobs of another.
 Test(JobApi, hides_jobs_of_other_accounts)
 {
   Api api;
@@ -121,8 +121,8 @@
   cr_assert_eq(post("k", R"({"resources":{"accelerators":2}})").mStatus, 422);
 }
 
-// Guards against "not run" with a record that was written, and against a refused token where only
-// the configuration is missing.
+// Guards against answering that a job did not run although its record was written, and against
+// refusing a token as unknown while the node has no configuration.
 Test(JobApi, refuses_while_the_store_or_the_configuration_is_missing)
 {
   Api api;
--- a/tests/jobs/JobFixture.h
+++ b/tests/jobs/JobFixture.h
@@ -17,11 +17,12 @@
 
 namespace lovagerock::jobs {
 
-// Payloads of a task that ends at once, and of one that runs on.
-inline constexpr const char* kShort = R"({"run_ms":30,"answer":"42"})";
-inline constexpr const char* kLong = R"({"run_ms":20000,"answer":"42"})";
+// Payloads of a task that ends after 30 ms, and of one that runs for 20 s.
+inline constexpr const char* kShortPayload = R"({"run_ms":30,"answer":"42"})";
+inline constexpr const char* kLongPayload = R"({"run_ms":20000,"answer":"42"})";
 
-// Stand-in workers with the real worker protocol, and a key-value store with faults.
+// Stand-in workers that speak the real worker protocol, and an in-memory key-value store with fault
+// injection.
 struct Cluster
 {
   EventLoop mLoop;
@@ -90,7 +91,7 @@
     return stored;
   }
 
-  // The job's record as stored.
+  // Returns the stored record of the job.
   JobRecord Load(const JobId& aJob)
   {
     JobRecord found;
@@ -103,6 +104,7 @@
     return found;
   }
 
+  // Runs the loop until the job is done and returns its record.
   JobRecord UntilDone(const JobId& aJob)
   {
     JobRecord record;
@@ -134,11 +136,11 @@
     Until([&] { return done; });
   }
 
-  // Number of starts of each task attempt, over all workers.
+  // Returns the number of starts of each task attempt, summed over all workers.
   Json Starts() const { return mCounters.Read().at("tasks"); }
 };
 
-// Starts of tasks over all workers.
+// Returns the number of task starts on all workers.
 inline int
 TotalStarts(const Cluster& aCluster)
 {
@@ -149,7 +151,7 @@
   return n;
 }
 
-// Writes a record, and gives the error.
+// Writes a record and returns the error.
 inline std::error_code
 Update(Cluster& aCluster, const JobRecord& aRecord)
 {
@@ -163,7 +165,7 @@
   return ec;
 }
 
-// A node's planner with its own view of the workers.
+// The planner of one node, with its own views of the workers.
 struct Planner
 {
   Cluster& mCluster;
--- a/tests/jobs/JobStoreTests.cpp
+++ b/tests/jobs/JobStoreTests.cpp
@@ -34,8 +34,9 @@
 
 } // namespace
 
-// Guards against a job that runs twice because its caller submitted it again after a lost answer.
-Test(JobStore, gives_the_same_job_for_a_repeated_submission)
+// Guards against running a job twice because its caller repeated the submission after a lost
+// response.
+Test(JobStore, returns_the_same_job_for_a_repeated_submission)
 {
   Cluster cluster(0);
   cluster.mStore.LoseAnswers(1);
@@ -45,7 +46,7 @@
   cr_assert(first.mModifyIndex != 0);
 }
 
-// Guards against an answer that belongs to another job under the same key.
+// Guards against returning the answer of a different job that used the same key.
 Test(JobStore, refuses_another_job_under_the_same_key)
 {
   Cluster cluster(0);
@@ -60,8 +61,8 @@
   cr_assert_eq(ec, make_error_code(JobError::KeyReused));
 }
 
-// Guards against "not run" for a submission that took effect.
-Test(JobStore, reports_an_unsettled_submission_as_unknown)
+// Guards against reporting "not run" for a submission that took effect.
+Test(JobStore, reports_a_submission_with_a_lost_response_as_unknown)
 {
   Cluster cluster(0);
   cluster.mStore.GoDownAfterWrite();
@@ -70,7 +71,7 @@
   cr_assert_eq(cluster.Load(MakeJobId(AccountId("a"), "k")).mState, JobState::Pending);
 }
 
-// Guards against "unknown" where a retry may safely be told "not run".
+// Guards against reporting an unknown outcome although the submission certainly had no effect.
 Test(JobStore, reports_a_submission_that_was_not_written_as_unavailable)
 {
   Cluster cluster(0);
@@ -78,8 +79,8 @@
   cr_assert_eq(SubmitError(cluster), make_error_code(JobError::StoreUnavailable));
 }
 
-// Guards against two planners that both commit an attempt.
-Test(JobStore, lets_one_of_two_writers_win)
+// Guards against two planners both committing an attempt from the same version of the record.
+Test(JobStore, refuses_a_write_based_on_an_old_version)
 {
   Cluster cluster(0);
   const auto stored = cluster.Submit(cluster.Job("k", 1, "x"));
@@ -87,7 +88,7 @@
   cr_assert_eq(Update(cluster, stored), make_error_code(JobError::Conflict));
 }
 
-// Guards against a second answer by a late attempt.
+// Guards against a late attempt ending a job a second time.
 Test(JobStore, ends_a_job_once)
 {
   Cluster cluster(0);
@@ -98,7 +99,7 @@
   cr_assert_eq(Finish(cluster, stored), make_error_code(JobError::Conflict));
 }
 
-// Guards against pieces that are cut or joined wrongly.
+// Guards against errors in splitting an answer into pieces.
 Test(AnswerStore, reads_back_a_large_answer)
 {
   Cluster cluster(0);
@@ -127,7 +128,8 @@
   cr_assert(read == answer);
 }
 
-// Guards against transactions above the limits of the store, and against one for each answer.
+// Guards against transactions that exceed the store's limits, and against using one transaction for
+// each small answer.
 Test(AnswerStore, writes_answers_in_bounded_transactions)
 {
   Cluster cluster(0);
@@ -154,7 +156,7 @@
   cr_assert_eq(calls(2, piece + 1), 4);
 }
 
-// Guards against a misspelled option that is ignored.
+// Guards against silently ignoring a misspelled option.
 Test(JobSpec, names_each_invalid_field)
 {
   std::vector<SpecProblem> problems;
--- a/tests/jobs/StoreRetryTests.cpp
+++ b/tests/jobs/StoreRetryTests.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Tasks that each make a call to a service that is down at first.
-struct Service
+// A service that is down at first, and a retry queue with tasks that each call it.
+struct FlakyService
 {
   EventLoop mLoop;
   Random mRandom;
@@ -19,19 +19,20 @@
   bool mIsUp = false;
   int mFailed = 0;
   int mDone = 0;
-  // Calls since the last tick, which is shorter than each delay of the queue.
-  int mTogether = 0;
-  int mMostTogether = 0;
-  Timer mTick = mLoop.Every(Duration(10), [this] { mTogether = 0; });
+  // Calls since the last tick. A tick is shorter than each delay of the queue, so that calls in one
+  // tick belong to one batch.
+  int mCallsInTick = 0;
+  int mMaxCallsInTick = 0;
+  Timer mTick = mLoop.Every(Duration(10), [this] { mCallsInTick = 0; });
 
-  explicit Service(std::uint64_t aSeed)
+  explicit FlakyService(std::uint64_t aSeed)
     : mRandom(aSeed)
   {
   }
 
   void Call()
   {
-    mMostTogether = std::max(mMostTogether, ++mTogether);
+    mMaxCallsInTick = std::max(mMaxCallsInTick, ++mCallsInTick);
     mLoop.Post([this] {
       if (mIsUp) {
         ++mDone;
@@ -56,25 +57,25 @@
 
 } // namespace
 
-// Guards against a burst of all calls that failed in an outage, in it and when the service returns,
-// and against calls that are never made again.
-Test(RetryQueue, makes_few_calls_at_once)
+// Guards against retrying all failed calls at once, during an outage or when the service recovers,
+// and against failed calls that are never retried.
+Test(RetryQueue, limits_concurrent_retries)
 {
-  Service service(1);
+  FlakyService service(1);
   for (int i = 0; i < 200; ++i) {
     service.mQueue.Add([&] { service.Call(); });
   }
   service.Until([&] { return service.mFailed >= 10; });
-  cr_assert_eq(service.mMostTogether, 1);
+  cr_assert_eq(service.mMaxCallsInTick, 1);
   service.mIsUp = true;
   service.Until([&] { return service.mDone == 200; });
-  cr_assert_leq(service.mMostTogether, static_cast<int>(RetryQueue::kBatch));
+  cr_assert_leq(service.mMaxCallsInTick, static_cast<int>(RetryQueue::kBatchSize));
 }
 
-// Guards against tasks that wait for ever behind one that makes no call.
-Test(RetryQueue, is_not_held_up_by_a_task_without_a_call)
+// Guards against tasks that wait forever behind a retried task that makes no call.
+Test(RetryQueue, is_not_blocked_by_a_task_without_a_call)
 {
-  Service service(1);
+  FlakyService service(1);
   service.mIsUp = true;
   int n = 0;
   for (int i = 0; i < 50; ++i) {
@@ -83,9 +84,9 @@
   service.Until([&] { return n == 50; });
 }
 
-// Guards against a listing more in each period of an outage, all of which are made again together
-// when the service returns.
-Test(JobCoordinator, adds_no_listings_in_an_outage)
+// Guards against queueing one more listing in each period of an outage, all of which would be
+// retried when the store recovers.
+Test(JobCoordinator, does_not_accumulate_listings_in_an_outage)
 {
   Cluster cluster(1);
   CoordinatorTimes times;
@@ -99,10 +100,10 @@
   int ticks = 0;
   const auto tick = cluster.mLoop.Every(times.mRelistPeriod, [&] { ++ticks; });
   cluster.Until([&] { return ticks >= 50; });
-  // One listing at a time, each two periods or more after the one before; one more in each period
-  // would make several hundred.
+  // Listings are made one at a time, at least two periods apart. One more listing in each period
+  // would result in several hundred calls.
   cr_assert_leq(cluster.mStore.Calls() - calls, 50U);
   cluster.mStore.SetAvailable(true);
-  const auto job = cluster.Submit(cluster.Job("k", 1, kShort));
+  const auto job = cluster.Submit(cluster.Job("k", 1, kShortPayload));
   cr_assert_eq(cluster.UntilDone(job.mJob).mState, JobState::Finished);
 }
--- a/tests/jobs/TakeoverTests.cpp
+++ b/tests/jobs/TakeoverTests.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// Reserves a gang's leases on one worker as another planner with an older fence does, and gives the
-// record that this planner would commit.
+// Reserves a gang's leases on one worker as another planner with an older fence would, and returns
+// the record that the other planner would commit.
 JobRecord
-ReserveElsewhere(Cluster& aCluster, const JobRecord& aSubmitted)
+ReserveAsOtherPlanner(Cluster& aCluster, const JobRecord& aSubmitted)
 {
   auto record = aSubmitted;
   record.mStartToken = "elsewhere";
@@ -20,7 +20,7 @@
   for (int i = 0; i < record.mSpec.mTasks; ++i) {
     record.mPlacements.push_back({ WorkerId("w0"), aCluster.mList[0].mAddress, false });
     workers::LeaseRequest request;
-    request.mLease = TaskLease(record, i);
+    request.mLease = TaskLeaseId(record, i);
     request.mFence = { 0, NodeId("n0") };
     request.mTtl = Duration(60000);
     request.mJob = record.mJob;
@@ -41,27 +41,27 @@
   return record;
 }
 
-// A non-idempotent job for all slots of one worker.
+// Submits a non-idempotent job that takes all slots of one worker.
 JobRecord
 SubmitWholeWorker(Cluster& aCluster)
 {
-  auto record = aCluster.Job("k", 8, kShort);
+  auto record = aCluster.Job("k", 8, kShortPayload);
   record.mSpec.mIdempotent = false;
   return aCluster.Submit(record);
 }
 
-// Before each start, makes a newer planner known to one worker.
-struct TakenOverApi : workers::HttpWorkerApi
+// Before each start, makes the fence of a newer planner known to one worker.
+struct FenceRaisingApi : workers::HttpWorkerApi
 {
   using HttpWorkerApi::HttpWorkerApi;
 
-  SocketAddress mTakenOver;
+  SocketAddress mFencedWorker;
 
   void Start(const SocketAddress& aWorker, const LeaseId& aLease, const workers::Fence& aFence,
              Duration aTtl, workers::DoneCallback aCallback)
   {
     const workers::Fence newer{ aFence.mEpoch + 1, NodeId("newer") };
-    Renew(mTakenOver, newer, Duration(1000), {},
+    Renew(mFencedWorker, newer, Duration(1000), {},
           [this, aWorker, aLease, aFence, aTtl, aCallback](std::error_code aError,
                                                            const std::vector<LeaseId>&) {
             cr_assert_not(aError);
@@ -72,7 +72,7 @@
 
 } // namespace
 
-// Guards against a running gang that is lost or started again when the planner changes.
+// Guards against losing or restarting a running gang when another node takes over as planner.
 Test(JobCoordinator, takes_over_a_running_gang)
 {
   Cluster cluster(1);
@@ -90,9 +90,9 @@
   cluster.Until([&] { return !first.mCoordinator.IsActive(); });
 }
 
-// Guards against part of a gang that runs for as long as its planner is cut off: it can read no
-// records and reaches only some of the gang's workers.
-Test(JobCoordinator, lets_part_of_a_gang_end_while_it_reads_no_records)
+// Guards against part of a gang running for as long as its planner is partitioned from the store
+// and from some of the gang's workers.
+Test(JobCoordinator, lets_a_partial_gang_expire_while_the_store_is_down)
 {
   Cluster cluster(2);
   CoordinatorTimes times;
@@ -101,7 +101,7 @@
   const auto workers = cluster.mList;
   Planner first(cluster, "n1", times);
   first.mCoordinator.Activate();
-  const auto job = cluster.Submit(cluster.Job("k", 16, kLong));
+  const auto job = cluster.Submit(cluster.Job("k", 16, kLongPayload));
   first.mCoordinator.OnJobChanged(job.mJob);
   cluster.Until([&] { return first.IsRunning(job.mJob); });
   first.mCoordinator.Deactivate("cut off");
@@ -118,12 +118,14 @@
   cr_assert_eq(phases(workers::LeasePhase::Finished), 0, "part of the gang ran to its end");
 }
 
-// Guards against a whole gang that ends because its planner changed while the store is down.
-Test(JobCoordinator, keeps_a_whole_gang_running_while_it_reads_no_records)
+// Guards against ending a complete gang because another node took over as planner while the store
+// was down.
+Test(JobCoordinator, keeps_a_complete_gang_running_while_the_store_is_down)
 {
   Cluster cluster(2);
   CoordinatorTimes times;
-  // Long enough for a busy machine to renew in time, and shorter than the tasks.
+  // Long enough that renewals are in time on a busy machine, and shorter than the run time of the
+  // tasks, so that they depend on renewals.
   times.mGang.mRunningTtl = Duration(5000);
   times.mRenewPeriod = Duration(200);
   Planner first(cluster, "n1", times);
@@ -150,7 +152,7 @@
   cr_assert_eq(TotalStarts(cluster), 16);
 }
 
-// Guards against an old planner that resumes after a pause and commands workers.
+// Guards against a former planner that resumes after a pause and sends commands to workers.
 Test(JobCoordinator, steps_down_when_a_worker_refuses_its_fence)
 {
   Cluster cluster(1);
@@ -165,20 +167,20 @@
   cr_assert_gt(second.mCoordinator.GetFence(), first.mCoordinator.GetFence());
 }
 
-// Guards against a job that is called interrupted although it never ran: its former planner commits
-// a start after the new one has read the record, and can't send the start.
+// Guards against reporting a job as interrupted although it never ran: the former planner commits a
+// start after the new one has read the record, and cannot send the start to the workers.
 Test(JobCoordinator, completes_a_start_that_was_committed_after_it_read_the_record)
 {
   Cluster cluster(1);
   const auto workers = std::exchange(cluster.mList, {});
   Planner planner(cluster, "n1");
-  // No worker is listed yet, and that is no reason to refuse the job.
+  // No worker is listed yet, and the planner must not refuse the job for that.
   planner.mCoordinator.SetComplete(false);
   const auto job = SubmitWholeWorker(cluster);
   planner.mCoordinator.Activate();
   cluster.Until([&] { return planner.mCoordinator.Jobs().contains(job.mJob); });
   cluster.mList = workers;
-  cr_assert_not(Update(cluster, ReserveElsewhere(cluster, job)));
+  cr_assert_not(Update(cluster, ReserveAsOtherPlanner(cluster, job)));
   planner.mMonitor.SetWorkers(cluster.mList);
   const auto done = cluster.UntilDone(job.mJob);
   cr_assert_eq(done.mState, JobState::Finished);
@@ -186,15 +188,15 @@
   cr_assert_eq(TotalStarts(cluster), 8);
 }
 
-// Guards against a former planner's commit that takes effect after its reservations were released:
-// the record would be started without any task.
+// Guards against a former planner's commit taking effect after its reservations were released: the
+// record would be Started without any tasks.
 Test(JobCoordinator, makes_a_commit_fail_before_it_releases_the_reservations)
 {
   Cluster cluster(1);
   const auto job = SubmitWholeWorker(cluster);
-  const auto record = ReserveElsewhere(cluster, job);
+  const auto record = ReserveAsOtherPlanner(cluster, job);
   Planner planner(cluster, "n1");
-  // Without the account the job can't be placed here, so no commit of this planner interferes.
+  // Without the account this planner cannot place the job, so its own commit does not interfere.
   planner.mCoordinator.SetPolicy({});
   planner.mCoordinator.Activate();
   cluster.Until(
@@ -207,12 +209,12 @@
   cr_assert_eq(TotalStarts(cluster), 8);
 }
 
-// Guards against a former planner that stops the tasks which it started while a newer planner
-// completes the gang.
+// Guards against a former planner stopping the tasks that it started, while a newer planner
+// completes the start of the gang.
 Test(JobCoordinator, completes_a_gang_that_a_former_planner_started_in_part)
 {
   Cluster cluster(2);
-  const auto job = cluster.Submit(cluster.Job("k", 16, kShort));
+  const auto job = cluster.Submit(cluster.Job("k", 16, kShortPayload));
   auto record = job;
   record.mStartToken = "former";
   for (int i = 0; i < 16; ++i) {
@@ -220,10 +222,10 @@
     record.mPlacements.push_back(
       { WorkerId("w" + std::to_string(worker)), cluster.mList[worker].mAddress, false });
   }
-  TakenOverApi api(cluster.mClient);
-  api.mTakenOver = cluster.mList[1].mAddress;
+  FenceRaisingApi api(cluster.mClient);
+  api.mFencedWorker = cluster.mList[1].mAddress;
   bool ended = false;
-  const auto start = std::make_shared<GangStart<kv::MemoryStore, TakenOverApi>>(
+  const auto start = std::make_shared<GangStart<kv::MemoryStore, FenceRaisingApi>>(
     cluster.mLoop, api, cluster.mJobStore, record, workers::Fence{ 1, NodeId("n0") }, GangTimes(),
     [&](GangOutcome aOutcome, const JobRecord&, const std::vector<WorkerId>&) {
       cr_assert_eq(aOutcome, GangOutcome::Fenced);
