--- a/src/jobs/CoordinatorPlans.h
+++ b/src/jobs/CoordinatorPlans.h
@@ -64,7 +64,8 @@
   mFailures.clear();
   mSuccesses.clear();
   mRunTimes.clear();
-  mPlanThread.Compute(BuildSnapshot(mPolicy, mViews, mJobs, mComplete, now), std::move(mState),
+  mPlanThread.Compute(BuildSnapshot(mPolicy, mViews, mJobs, mAllWorkersKnown, now),
+                      std::move(mState),
                       [this, term = mTerm](placement::Plan aPlan, placement::PlannerState aState) {
                         if (std::exchange(mPlanAgain, false)) {
                           SchedulePlan();
--- a/src/jobs/CoordinatorRole.h
+++ b/src/jobs/CoordinatorRole.h
@@ -16,7 +16,7 @@
 template<kv::KeyValueStore S, workers::WorkerApi A>
 JobCoordinator<S, A>::JobCoordinator(EventLoop& aLoop, A& aApi, JobStore<S>& aJobStore,
                                      AnswerStore<S>& aAnswers, Random& aRandom, NodeId aNode,
-                                     const CoordinatorTimes& aTimes)
+                                     const CoordinatorSettings& aTimes)
   : mLoop(aLoop)
   , mApi(aApi)
   , mJobStore(aJobStore)
--- a/src/jobs/GangStatus.cpp
+++ b/src/jobs/GangStatus.cpp
@@ -76,7 +76,7 @@
     const auto* lease =
       known ? detail::FindLease(*it->second.mState, TaskLeaseId(aRecord, static_cast<int>(i)))
             : nullptr;
-    const auto heard = known ? it->second.mHeard : aObservation.mSince;
+    const auto heard = known ? it->second.mLastHeard : aObservation.mSince;
     const bool silent = !known || it->second.mSuspected;
     if (lease) {
       aObservation.mSeen[i] = true;
--- a/src/jobs/JobApi.h
+++ b/src/jobs/JobApi.h
@@ -29,7 +29,7 @@
   static constexpr std::size_t kMaxKeyBytes = 255;
   // Each waiting caller keeps one call to the key-value service open, so their number is bounded;
   // further callers get the job's current state at once.
-  static constexpr int kMaxWaiting = 256;
+  static constexpr int kMaxWaitingCallers = 256;
 
   struct Hooks
   {
@@ -163,7 +163,7 @@
   {
     const auto wait = ReadWait(aRequest.QueryParameter("wait_ms"), kMaxWait);
     WithJob(aRequest, aResponder, [this, wait, aResponder](const JobRecord& aRecord) {
-      if (aRecord.IsDone() || wait.count() == 0 || mWaitingCallers >= kMaxWaiting) {
+      if (aRecord.IsDone() || wait.count() == 0 || mWaitingCallers >= kMaxWaitingCallers) {
         aResponder.Send(http::JsonResponse(200, DescribeJob(aRecord)));
         return;
       }
--- a/src/jobs/JobCoordinator.h
+++ b/src/jobs/JobCoordinator.h
@@ -26,7 +26,7 @@
 namespace lovagerock::jobs {
 
 // Timing of the coordinator, and its limit of concurrent starts.
-struct CoordinatorTimes
+struct CoordinatorSettings
 {
   GangTimes mGang;
   // Running leases are renewed at this interval.
@@ -62,7 +62,7 @@
 public:
   JobCoordinator(EventLoop& aLoop, Api& aApi, JobStore<Store>& aJobStore,
                  AnswerStore<Store>& aAnswers, Random& aRandom, NodeId aNode,
-                 const CoordinatorTimes& aTimes = {});
+                 const CoordinatorSettings& aTimes = {});
   JobCoordinator(const JobCoordinator&) = delete;
   JobCoordinator& operator=(const JobCoordinator&) = delete;
 
@@ -81,7 +81,7 @@
   void SetPolicy(PolicyInput aPolicy);
   // Sets whether all listed workers have reported their state. Until then a lack of capacity may
   // only be apparent.
-  void SetComplete(bool aComplete) { mComplete = aComplete; }
+  void SetAllWorkersKnown(bool aAllWorkersKnown) { mAllWorkersKnown = aAllWorkersKnown; }
   // Updates this node's view of a worker, also while the node is not the planner.
   void OnWorkerChange(const workers::WorkerChange& aChange);
   // Reads a job's record again after a submission or a cancellation request.
@@ -239,7 +239,7 @@
   JobStore<Store>& mJobStore;
   AnswerStore<Store>& mAnswerStore;
   Random& mRandom;
-  CoordinatorTimes mTimes;
+  CoordinatorSettings mTimes;
   ServiceLeases<Api> mServices;
   workers::Fence mFence;
   PolicyInput mPolicy;
@@ -271,7 +271,7 @@
   std::uint64_t mTerm = 0;
   bool mActive = false;
   bool mRecordsLoaded = false;
-  bool mComplete = false;
+  bool mAllWorkersKnown = false;
   // Whether a plan was requested while another was being computed.
   bool mPlanAgain = false;
   PlanThread mPlanThread;
--- a/src/node/Node.cpp
+++ b/src/node/Node.cpp
@@ -76,10 +76,10 @@
   return options;
 }
 
-jobs::CoordinatorTimes
+jobs::CoordinatorSettings
 MakeCoordinatorTimes(const NodeSettings& aSettings)
 {
-  jobs::CoordinatorTimes times;
+  jobs::CoordinatorSettings times;
   times.mReclaimDeadline = aSettings.mReclaimDeadline;
   return times;
 }
@@ -117,8 +117,8 @@
   , mRequestClient(aLoop)
   , mControlClient(aLoop)
   , mStore(aLoop, detail::MakeKvSettings(mSettings, 64))
-  , mWatchStore(aLoop,
-                detail::MakeKvSettings(mSettings, jobs::JobApi<kv::ConsulStore>::kMaxWaiting))
+  , mWatchStore(
+      aLoop, detail::MakeKvSettings(mSettings, jobs::JobApi<kv::ConsulStore>::kMaxWaitingCallers))
   , mTransport(aLoop, mRandom)
   , mMembership(aLoop, mTransport, detail::MakeSelf(mSettings))
   , mConfig(aLoop, mStore, mTransport, mMembership, mRandom, detail::MakeConfigSettings(mSettings))
@@ -128,11 +128,12 @@
   , mRelay(aLoop, mTransport, mSettings.mNode, mMembership.Self().mIncarnation,
            // The planner polls all workers itself. One that isn't in its own view misses the
            // batches, and polls for that reason.
-           { [this] { return RegionPeers(PlannerNode()); }, [this] { return mMonitor.IsTimely(); },
+           { [this] { return RegionPeers(PlannerNode()); },
+             [this] { return mMonitor.ArePollsCurrent(); },
              [this](const NodeId& aWatcher, const workers::RelayedChange& aChange) {
                mMonitor.OnRelayed(aWatcher, aChange);
              },
-             [this](const NodeId& aWatcher) { mMonitor.OnLapsed(aWatcher); } })
+             [this](const NodeId& aWatcher) { mMonitor.OnWatcherInvalidated(aWatcher); } })
   , mRoutingMetrics(mRegistry)
   , mRouter(aLoop, mRequestClient, mStore, mTransport, mWorkerApi, mRandom, mRoutingMetrics,
             detail::MakeRouterOptions(mSettings, mMembership.Self().mIncarnation))
@@ -255,7 +256,7 @@
 bool
 Node::AllWorkersHeard() const
 {
-  return mMonitor.AllHeard() && mMonitor.Watched() >= mListedWorkers;
+  return mMonitor.HaveAllStates() && mMonitor.Watched() >= mListedWorkers;
 }
 
 void
--- a/src/node/NodeWatching.cpp
+++ b/src/node/NodeWatching.cpp
@@ -21,7 +21,7 @@
                                                        mWatchNodes) == mSettings.mNode;
                   },
                    [this](const SocketAddress& aWorker) { return mRelay.Find(aWorker); },
-                   [this](const workers::RelayedChange& aChange) { mRelay.Offer(aChange); } });
+                   [this](const workers::RelayedChange& aChange) { mRelay.Publish(aChange); } });
   mMembership.AddPayload(
     "watch", [this] { return mRelay.WritePayload(); },
     [this](const membership::Member& aMember, const Json& aPayload, TimePoint aSent) {
@@ -44,7 +44,7 @@
   // A node that others may have taken for dead watches for itself.
   mWatchNodes = mMembership.IsViewUnconfirmed() ? std::vector<NodeId>()
                                                 : mMembership.LiveNodes(mSettings.mRegion);
-  mMonitor.Reassign();
+  mMonitor.UpdateOwners();
 }
 
 void
@@ -97,13 +97,13 @@
   }
   mListedWorkers = listed.size();
   mMonitor.SetWorkers(listed);
-  mCoordinator.SetComplete(AllWorkersHeard());
+  mCoordinator.SetAllWorkersKnown(AllWorkersHeard());
 }
 
 void
 Node::OnWorkerChange(const workers::WorkerChange& aChange)
 {
-  mCoordinator.SetComplete(AllWorkersHeard());
+  mCoordinator.SetAllWorkersKnown(AllWorkersHeard());
   mCoordinator.OnWorkerChange(aChange);
   const auto& view = aChange.mView;
   if (!view.mState) {
--- a/src/retention/FirstSeen.cpp
+++ b/src/retention/FirstSeenTimes.cpp
@@ -1,9 +1,9 @@
-#include "retention/FirstSeen.h"
+#include "retention/FirstSeenTimes.h"
 
 namespace lovagerock::retention {
 
 std::int64_t
-FirstSeen::Since(const std::string& aKey, kv::ModifyIndex aIndex, std::int64_t aNow)
+FirstSeenTimes::Since(const std::string& aKey, kv::ModifyIndex aIndex, std::int64_t aNow)
 {
   const auto* known = mObservations.Find(aKey);
   const auto since = known && known->mIndex == aIndex ? known->mSince : aNow;
--- a/src/retention/FirstSeen.h
+++ b/src/retention/FirstSeenTimes.h
@@ -10,7 +10,7 @@
 
 // Stores when the sweeper first saw the current version of each key whose value has no time. Each
 // pass calls Since() for every such key; keys without a call in a complete pass are removed.
-class FirstSeen
+class FirstSeenTimes
 {
 public:
   // Returns the time, in milliseconds since 1970, of the first call with this version of the key:
--- a/src/retention/JobSweep.h
+++ b/src/retention/JobSweep.h
@@ -5,7 +5,7 @@
 #include "base/Random.h"
 #include "base/WallClock.h"
 #include "jobs/JobRecord.h"
-#include "retention/FirstSeen.h"
+#include "retention/FirstSeenTimes.h"
 #include "retention/JobDeletion.h"
 #include "retention/JobPage.h"
 #include "retention/PassMap.h"
@@ -306,7 +306,7 @@
   SweepCallback mDone;
   // When the done jobs of this region ended, in milliseconds since 1970.
   PassMap<std::int64_t> mEndTimes;
-  FirstSeen mSeen;
+  FirstSeenTimes mSeen;
   std::set<std::string> mRegions;
   PrefixPager mPager;
   JobPage mPage;
--- a/src/retention/RecordExpiry.cpp
+++ b/src/retention/RecordExpiry.cpp
@@ -26,7 +26,7 @@
 std::vector<Deletion>
 FindExpired(const std::vector<kv::Entry>& aEntries, DeletionKind aKind,
             std::int64_t (*aTime)(const kv::Entry&), Duration aRetention, std::int64_t aNow,
-            FirstSeen& aSeen)
+            FirstSeenTimes& aSeen)
 {
   std::vector<Deletion> expired;
   for (const auto& it : aEntries) {
@@ -46,7 +46,7 @@
 
 std::vector<Deletion>
 FindExpiredClaims(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
-                  FirstSeen& aSeen)
+                  FirstSeenTimes& aSeen)
 {
   return detail::FindExpired(aEntries, DeletionKind::Claim, detail::ClaimTime, aRetention, aNow,
                              aSeen);
@@ -54,7 +54,7 @@
 
 std::vector<Deletion>
 FindExpiredChanges(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
-                   FirstSeen& aSeen)
+                   FirstSeenTimes& aSeen)
 {
   return detail::FindExpired(aEntries, DeletionKind::Change, detail::ChangeTime, aRetention, aNow,
                              aSeen);
--- a/src/retention/RecordExpiry.h
+++ b/src/retention/RecordExpiry.h
@@ -2,7 +2,7 @@
 
 #include "base/Units.h"
 #include "retention/Deletion.h"
-#include "retention/FirstSeen.h"
+#include "retention/FirstSeenTimes.h"
 
 #include <cstdint>
 #include <vector>
@@ -13,12 +13,12 @@
 // cannot be parsed or have no time counts from when they were first seen.
 std::vector<Deletion>
 FindExpiredClaims(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
-                  FirstSeen& aSeen);
+                  FirstSeenTimes& aSeen);
 
 // Returns the change records that have reached the age aRetention. The age of records that cannot
 // be parsed or have no time counts from when they were first seen.
 std::vector<Deletion>
 FindExpiredChanges(const std::vector<kv::Entry>& aEntries, Duration aRetention, std::int64_t aNow,
-                   FirstSeen& aSeen);
+                   FirstSeenTimes& aSeen);
 
 } // namespace lovagerock::retention
--- a/src/retention/Sweeper.h
+++ b/src/retention/Sweeper.h
@@ -70,7 +70,7 @@
 
 private:
   using Finder = std::vector<Deletion> (*)(const std::vector<kv::Entry>&, Duration, std::int64_t,
-                                           FirstSeen&);
+                                           FirstSeenTimes&);
   // The characters of claim names, which are hashes, and those of change ids.
   static constexpr std::string_view kHashAlphabet = "0123456789abcdef";
   static constexpr std::string_view kIdAlphabet =
@@ -138,7 +138,7 @@
   }
 
   void SweepKeys(const std::string& aBase, PrefixPager aPager, Finder aFinder, Duration aRetention,
-                 FirstSeen& aSeen, const std::function<void()>& aNext)
+                 FirstSeenTimes& aSeen, const std::function<void()>& aNext)
   {
     mKeySweep.Run(
       aBase, std::move(aPager),
@@ -178,8 +178,8 @@
   RateLimitedCalls<Store> mCalls;
   KeySweep<Store> mKeySweep;
   JobSweep<Store> mJobSweep;
-  FirstSeen mSeenClaims;
-  FirstSeen mSeenChanges;
+  FirstSeenTimes mSeenClaims;
+  FirstSeenTimes mSeenChanges;
   // Key prefixes of the client accounts whose claims are still to be read.
   std::vector<std::string> mAccounts;
   // Whether the sweep of the current kind of keys (claims or changes) has had no failure so far.
--- a/src/workers/StateRelay.h
+++ b/src/workers/StateRelay.h
@@ -80,7 +80,7 @@
 
   // Publishes a state to the other nodes, or withdraws it. Does not send a version that was
   // published already.
-  void Offer(const RelayedChange& aChange)
+  void Publish(const RelayedChange& aChange)
   {
     const auto it = mPublished.find(aChange.mAddress);
     if (aChange.mState) {
--- a/src/workers/WorkerMonitor.h
+++ b/src/workers/WorkerMonitor.h
@@ -72,11 +72,11 @@
   void Share(WatchSharing aSharing)
   {
     mSharing = std::move(aSharing);
-    Reassign();
+    UpdateOwners();
   }
 
   // Updates which workers this node owns. Must be called after the owners have changed.
-  void Reassign()
+  void UpdateOwners()
   {
     for (const auto& [address, entry] : mEntries) {
       if (const bool owned = Owns(address); owned != entry->mOwned) {
@@ -112,7 +112,7 @@
   }
 
   // Returns whether the polls of the owned workers are recent enough for other nodes to rely on.
-  bool IsTimely() const
+  bool ArePollsCurrent() const
   {
     const auto limit = std::chrono::steady_clock::now() - mSettings.mMaxPollAge;
     return std::all_of(mEntries.begin(), mEntries.end(), [limit](const auto& aItem) {
@@ -156,7 +156,7 @@
     const auto entry = it->second;
     const auto before = entry->mView.Health();
     if (aChange.mState) {
-      entry->mView.mHeard = std::chrono::steady_clock::now();
+      entry->mView.mLastHeard = std::chrono::steady_clock::now();
       OnState(entry, before, aChange.mState);
       return;
     }
@@ -168,7 +168,7 @@
   }
 
   // Resumes the polls of the workers whose states the watcher relayed.
-  void OnLapsed(const NodeId& aWatcher)
+  void OnWatcherInvalidated(const NodeId& aWatcher)
   {
     for (const auto& [address, entry] : mEntries) {
       if (entry->mWatcher == aWatcher) {
@@ -219,7 +219,10 @@
 
   // Returns whether there are workers and a state of each has been received. Takes constant time,
   // because it is called on every change.
-  bool AllHeard() const { return mEntriesWithState > 0 && mEntriesWithState == mEntries.size(); }
+  bool HaveAllStates() const
+  {
+    return mEntriesWithState > 0 && mEntriesWithState == mEntries.size();
+  }
   // Number of workers that this node has a view of, polled or relayed.
   std::size_t Watched() const { return mEntries.size(); }
   // Number of workers that this node polls for all nodes of the region.
@@ -370,7 +373,7 @@
     const auto before = aEntry->mView.Health();
     aEntry->mFailures = 0;
     aEntry->mView.mSuspected = false;
-    aEntry->mView.mHeard = std::chrono::steady_clock::now();
+    aEntry->mView.mLastHeard = std::chrono::steady_clock::now();
     if (!aAnswer.mState) {
       CheckVersion(*aEntry, aAnswer.mVersion);
       ReportHealth(aEntry, before, "answered");
@@ -396,7 +399,7 @@
       ResumePolls(aEntry);
     } else {
       aEntry->mView.mSuspected = false;
-      aEntry->mView.mHeard = std::chrono::steady_clock::now();
+      aEntry->mView.mLastHeard = std::chrono::steady_clock::now();
       OnState(aEntry, before, std::make_shared<const WorkerState>(std::move(*aAnswer.mState)));
     }
     Publish(*aEntry);
--- a/src/workers/WorkerView.h
+++ b/src/workers/WorkerView.h
@@ -24,7 +24,7 @@
   // The latest state; null until the first one was received.
   std::shared_ptr<const WorkerState> mState;
   // When this node last received an answer of the worker or a relayed change of its state.
-  TimePoint mHeard;
+  TimePoint mLastHeard;
   // Polls fail, so the state may be outdated.
   bool mSuspected = true;
   // The VM list marks the worker as leaving.
--- a/tests/jobs/CoordinatorTests.cpp
+++ b/tests/jobs/CoordinatorTests.cpp
@@ -102,7 +102,7 @@
 Test(JobCoordinator, starts_no_gang_before_one_that_waits_for_the_limit)
 {
   Cluster cluster(2);
-  CoordinatorTimes times;
+  CoordinatorSettings times;
   times.mMaxStartingTasks = 4;
   Planner planner(cluster, "n1", times);
   // At frozen workers the reservation calls of the first gang stay open for a while.
@@ -131,7 +131,7 @@
 Test(JobCoordinator, limits_the_tasks_of_starts_in_progress)
 {
   Cluster cluster(2);
-  CoordinatorTimes times;
+  CoordinatorSettings times;
   times.mMaxStartingTasks = 4;
   Planner planner(cluster, "n1", times);
   // Reservation calls to the frozen workers, which were reported live before, stay open for a
@@ -170,7 +170,7 @@
 Test(JobCoordinator, detects_the_end_of_each_attempt_from_worker_changes_alone)
 {
   Cluster cluster(2);
-  CoordinatorTimes times;
+  CoordinatorSettings times;
   times.mPlanPeriod = Duration(3600000);
   times.mRelistPeriod = Duration(3600000);
   Planner first(cluster, "n1", times);
--- a/tests/jobs/JobFixture.h
+++ b/tests/jobs/JobFixture.h
@@ -173,7 +173,7 @@
   Mailbox<workers::WorkerChange> mChanges;
   workers::WorkerMonitor<workers::HttpWorkerApi> mMonitor;
 
-  Planner(Cluster& aCluster, const char* aNode, const CoordinatorTimes& aTimes = {})
+  Planner(Cluster& aCluster, const char* aNode, const CoordinatorSettings& aTimes = {})
     : mCluster(aCluster)
     , mCoordinator(aCluster.mLoop, aCluster.mApi, aCluster.mJobStore, aCluster.mAnswers,
                    aCluster.mRandom, NodeId(aNode), aTimes)
@@ -185,7 +185,7 @@
     PolicyInput policy;
     policy.mAccounts.push_back({ AccountId("a"), 1, {}, {} });
     mCoordinator.SetPolicy(policy);
-    mCoordinator.SetComplete(true);
+    mCoordinator.SetAllWorkersKnown(true);
     mMonitor.SetWorkers(mCluster.mList);
     mCluster.Until([this] { return mCoordinator.Views().size() == mCluster.mList.size(); });
   }
--- a/tests/jobs/StoreRetryTests.cpp
+++ b/tests/jobs/StoreRetryTests.cpp
@@ -89,7 +89,7 @@
 Test(JobCoordinator, does_not_accumulate_listings_in_an_outage)
 {
   Cluster cluster(1);
-  CoordinatorTimes times;
+  CoordinatorSettings times;
   times.mRelistPeriod = Duration(10);
   times.mStoreRetry = Duration(40);
   times.mMaxStoreRetry = Duration(40);
--- a/tests/jobs/TakeoverTests.cpp
+++ b/tests/jobs/TakeoverTests.cpp
@@ -95,7 +95,7 @@
 Test(JobCoordinator, lets_a_partial_gang_expire_while_the_store_is_down)
 {
   Cluster cluster(2);
-  CoordinatorTimes times;
+  CoordinatorSettings times;
   times.mGang.mRunningTtl = Duration(1500);
   times.mRenewPeriod = Duration(200);
   const auto workers = cluster.mList;
@@ -123,7 +123,7 @@
 Test(JobCoordinator, keeps_a_complete_gang_running_while_the_store_is_down)
 {
   Cluster cluster(2);
-  CoordinatorTimes times;
+  CoordinatorSettings times;
   // Long enough that renewals are in time on a busy machine, and shorter than the run time of the
   // tasks, so that they depend on renewals.
   times.mGang.mRunningTtl = Duration(5000);
@@ -175,7 +175,7 @@
   const auto workers = std::exchange(cluster.mList, {});
   Planner planner(cluster, "n1");
   // No worker is listed yet, and the planner must not refuse the job for that.
-  planner.mCoordinator.SetComplete(false);
+  planner.mCoordinator.SetAllWorkersKnown(false);
   const auto job = SubmitWholeWorker(cluster);
   planner.mCoordinator.Activate();
   cluster.Until([&] { return planner.mCoordinator.Jobs().contains(job.mJob); });
--- a/tests/workers/SharingTests.cpp
+++ b/tests/workers/SharingTests.cpp
@@ -69,16 +69,17 @@
                { .mPollWait = Duration(100), .mHandoverOverlap = Duration(0) })
     , mRelay(std::make_unique<Relay>(
         aLoop, mTransport, NodeId(aNode), 1,
-        Relay::Hooks{ [this] { return mPeers; }, [this] { return mMonitor.IsTimely(); },
-                      [this](const NodeId& aWatcher, const RelayedChange& aChange) {
-                        mMonitor.OnRelayed(aWatcher, aChange);
-                      },
-                      [this](const NodeId& aWatcher) { mMonitor.OnLapsed(aWatcher); } }))
+        Relay::Hooks{
+          [this] { return mPeers; }, [this] { return mMonitor.ArePollsCurrent(); },
+          [this](const NodeId& aWatcher, const RelayedChange& aChange) {
+            mMonitor.OnRelayed(aWatcher, aChange);
+          },
+          [this](const NodeId& aWatcher) { mMonitor.OnWatcherInvalidated(aWatcher); } }))
   {
     cr_assert_not(mTransport.Listen(testing::LocalAddress()));
     mMonitor.Share({ [this](const SocketAddress&) { return mOwns; },
                      [this](const SocketAddress& aWorker) { return mRelay->Find(aWorker); },
-                     [this](const RelayedChange& aChange) { mRelay->Offer(aChange); } });
+                     [this](const RelayedChange& aChange) { mRelay->Publish(aChange); } });
   }
 };
 
@@ -218,10 +219,10 @@
 {
   SharingFixture f;
   f.mSecond.mOwns = true;
-  f.mSecond.mMonitor.Reassign();
+  f.mSecond.mMonitor.UpdateOwners();
   f.WaitUntil([&] { return f.mSecond.mMonitor.AllPolled(); });
   f.mSecond.mOwns = false;
-  f.mSecond.mMonitor.Reassign();
+  f.mSecond.mMonitor.UpdateOwners();
   f.WaitUntil([&] { return f.ArePollsStopped(); });
   // The planner polls all workers.
   f.mSecond.mMonitor.SetPollAll(true);
@@ -229,7 +230,7 @@
   f.mSecond.mMonitor.SetPollAll(false);
   f.WaitUntil([&] { return f.ArePollsStopped(); });
   f.mFirst.mOwns = false;
-  f.mFirst.mMonitor.Reassign();
+  f.mFirst.mMonitor.UpdateOwners();
   f.WaitUntil([&] { return f.mSecond.mMonitor.AllPolled(); });
 }
 
--- a/tests/workers/WorkerTests.cpp
+++ b/tests/workers/WorkerTests.cpp
@@ -155,7 +155,7 @@
 {
   WorkerFixture f;
   f.mMonitor.SetWorkers({ { f.mAddress, false } });
-  f.Wait([&] { return f.mMonitor.AllHeard(); });
+  f.Wait([&] { return f.mMonitor.HaveAllStates(); });
   f.mWorker.reset();
   bool suspected = false;
   f.mMonitor.Recheck([&] { suspected = f.mMonitor.Find(f.mAddress)->mSuspected; });
@@ -208,11 +208,11 @@
 Test(WorkerMonitor, counts_each_watched_worker_with_a_state_once)
 {
   WorkerFixture f;
-  cr_assert_not(f.mMonitor.AllHeard());
+  cr_assert_not(f.mMonitor.HaveAllStates());
   const SocketAddress silent("127.0.0.1", 1);
   f.mMonitor.SetWorkers({ { f.mAddress, false }, { silent, false } });
   f.Wait([&] { return f.HasHealth(WorkerHealth::Live); });
-  cr_assert_not(f.mMonitor.AllHeard());
+  cr_assert_not(f.mMonitor.HaveAllStates());
   f.mWorker.reset();
   f.StartWorker("second");
   f.Wait([&] {
@@ -221,13 +221,13 @@
            last.mView.mState->mIncarnation == "second";
   });
   cr_assert_eq(f.mMonitor.Watched(), 2U);
-  cr_assert_not(f.mMonitor.AllHeard());
+  cr_assert_not(f.mMonitor.HaveAllStates());
   // A suspected worker is removed at once, a live one when its polls fail.
   f.mMonitor.SetWorkers({ { f.mAddress, false } });
   cr_assert_eq(f.mMonitor.Watched(), 1U);
-  cr_assert(f.mMonitor.AllHeard());
+  cr_assert(f.mMonitor.HaveAllStates());
   f.mWorker.reset();
   f.mMonitor.SetWorkers({});
   f.Wait([&] { return f.mMonitor.Watched() == 0; });
-  cr_assert_not(f.mMonitor.AllHeard());
+  cr_assert_not(f.mMonitor.HaveAllStates());
 }
