--- a/src/configstore/Confirmation.h
+++ b/src/configstore/Confirmation.h
@@ -31,7 +31,7 @@
 // Time limits of Confirmation.
 struct ConfirmationSettings
 {
-  // How long a read of the head keeps the node confirmed.
+  // The time for which a read of the head keeps the node confirmed.
   Duration mReadValidity{ 8000 };
   // A member's report counts while the heartbeat that it answered was sent within this time.
   Duration mReportValidity{ 3000 };
--- a/src/control/ControlSettings.h
+++ b/src/control/ControlSettings.h
@@ -52,9 +52,9 @@
 inline constexpr Duration kPlanDelay{ 3 };
 // A plan is requested at least this often, for work that becomes due without an event.
 inline constexpr Duration kPlanPeriod{ 60 };
-// How often the records of jobs past their retention time are deleted.
+// Interval at which the records of jobs past their retention time are deleted.
 inline constexpr Duration kExpiryPeriod{ 10000 };
-// How often a node that shuts down checks whether it may exit.
+// Interval at which a node that shuts down checks whether it may exit.
 inline constexpr Duration kShutdownCheckPeriod{ 50 };
 // A worker holds back its reply to a lease renewal for up to this time, until a run ends.
 inline constexpr Duration kRenewalWait{ 1000 };
--- a/src/control/EdgeNode.h
+++ b/src/control/EdgeNode.h
@@ -211,7 +211,7 @@
                 });
   }
 
-  // Returns what this node may not have stored in the leadership with the token, for its successor;
+  // Returns the state that the leadership with the token may not have stored, for its successor;
   // empty if that wasn't this node's last leadership. Resigns first if this node still holds it.
   HandOver ProvideHandOver(FencingToken aToken)
   {
@@ -345,7 +345,7 @@
   std::optional<PrefixWatch<Store>> mConfigurationWatch;
   std::optional<Election<Store>> mElection;
   std::unique_ptr<LeaderType> mLeader;
-  // What may not have been stored when this node's last leadership ended.
+  // The state that may not have been stored when this node's last leadership ended.
   std::optional<HandOver> mLastHandOver;
   const std::optional<SocketAddress> mNoAddress;
   bool mIsShuttingDown = false;
--- a/src/control/Election.h
+++ b/src/control/Election.h
@@ -237,7 +237,7 @@
       }
     }
     if (!isHeld) {
-      // A whole leadership has passed that this node saw no event of.
+      // Another leadership began and ended without an event reaching this node.
       ScheduleClaim();
     }
   }
--- a/src/control/Leader.h
+++ b/src/control/Leader.h
@@ -319,7 +319,7 @@
   {
     const auto entry = Registry::Read(aKey, aValue);
     if (!entry) {
-      // Another program wrote the entry, so it says nothing about the worker.
+      // Written by another program, so the worker's known state is left unchanged.
       LogEvent("worker_entry_unreadable", LogLevel::Warning).With("key", aKey);
       return;
     }
--- a/src/control/StoreFreshness.h
+++ b/src/control/StoreFreshness.h
@@ -25,7 +25,7 @@
   bool IsReachable(Duration aNow) const { return aNow - mAnsweredAt < kWatchWait + kAnswerMargin; }
 
 private:
-  // How much longer than kWatchWait an answer may take.
+  // The time beyond kWatchWait that an answer may take.
   static constexpr Duration kAnswerMargin{ 800 };
 
   Duration mConfirmedUntil = Duration::min() / 2;
--- a/src/control/WorkerCalls.h
+++ b/src/control/WorkerCalls.h
@@ -35,7 +35,7 @@
   std::optional<scheduler::WorkerClock> mLeaseDeadline;
   // The worker may drop ended runs up to this number from its report, since they are stored.
   std::int64_t mLastStoredEnd = 0;
-  // How long the worker may hold back its reply until a run ends.
+  // The longest time that the worker may hold back its reply until a run ends.
   Duration mWait{ 0 };
 };
 
--- a/src/jobs/GangStart.h
+++ b/src/jobs/GangStart.h
@@ -16,7 +16,7 @@
 
 namespace lovagerock::jobs {
 
-// How an attempt to start a gang ended.
+// The outcome of an attempt to start a gang.
 enum class GangOutcome
 {
   // All workers confirmed the start of their tasks.
--- a/src/jobs/GangStatus.h
+++ b/src/jobs/GangStatus.h
@@ -43,7 +43,7 @@
   bool HasEnded() const;
 };
 
-// What this planner has observed of an attempt.
+// The time since which this planner observes an attempt, and the leases reported since then.
 struct GangObservation
 {
   // When this planner started the attempt or took it over.
--- a/src/jobs/JobCoordinator.h
+++ b/src/jobs/JobCoordinator.h
@@ -79,8 +79,8 @@
 
   // Sets the accounts, services and weights for the next plans.
   void SetPolicy(PolicyInput aPolicy);
-  // Sets whether all listed workers have reported their state. Until then a lack of capacity may
-  // only be apparent.
+  // Sets whether all listed workers have reported their state. Until then unreported workers may
+  // have the capacity that seems to be lacking.
   void SetAllWorkersKnown(bool aAllWorkersKnown) { mAllWorkersKnown = aAllWorkersKnown; }
   // Updates this node's view of a worker, also while the node is not the planner.
   void OnWorkerChange(const workers::WorkerChange& aChange);
--- a/src/jobs/JobRecord.h
+++ b/src/jobs/JobRecord.h
@@ -38,7 +38,7 @@
   Yes,
 };
 
-// Where one task of an attempt was placed.
+// The worker to which one task of an attempt was assigned.
 struct TaskPlacement
 {
   WorkerId mWorker;
--- a/src/jobs/ManagedJob.h
+++ b/src/jobs/ManagedJob.h
@@ -19,7 +19,7 @@
   Running,
   // All workers were told to stop their tasks; some may still run.
   Stopping,
-  // The record is being written; the job is left alone until that has ended.
+  // The record is being written; the job is not started, checked or stopped until that has ended.
   Writing,
 };
 
--- a/src/membership/FollowedReader.h
+++ b/src/membership/FollowedReader.h
@@ -12,7 +12,7 @@
 // Time limits for following a reader of the VM list.
 struct FollowedReaderSettings
 {
-  // How long the answer to a heartbeat stays valid, from when the heartbeat was sent. Heartbeats
+  // Validity of the answer to a heartbeat, counted from when the heartbeat was sent. Heartbeats
   // are sent every second.
   Duration mValidity{ 1300 };
   // Maximum time since the reader began its last successful read. Exceeds the sum of the read
--- a/src/membership/Member.h
+++ b/src/membership/Member.h
@@ -21,7 +21,7 @@
   Suspected
 };
 
-// What an entry node reports about itself in heartbeats and in answers to them.
+// An entry node's description of itself, sent in heartbeats and in answers to them.
 struct Member
 {
   NodeId mNode;
--- a/src/membership/Membership.h
+++ b/src/membership/Membership.h
@@ -94,7 +94,7 @@
   bool IsViewUnconfirmed() { return AdvancedTable().IsViewUnconfirmed(); }
 
   // Returns the live member of a region that owns the key, or of all regions if aRegion is empty;
-  // empty if there is no live member. A node must not act as owner while IsViewUnconfirmed().
+  // empty if there is none. Callers must also check IsViewUnconfirmed() before acting as the owner.
   NodeId OwnerOf(const std::string& aKey, const RegionId& aRegion = {})
   {
     return RendezvousOwner(aKey, LiveNodes(aRegion));
--- a/src/membership/VmList.h
+++ b/src/membership/VmList.h
@@ -21,7 +21,7 @@
 std::optional<std::vector<Vm>>
 ParseVmList(std::string_view aText);
 
-// Where and how often the VM list is read.
+// The server, path, period and timeout of the requests for the VM list.
 struct VmListSettings
 {
   SocketAddress mServer;
--- a/src/placement/GangSearch.h
+++ b/src/placement/GangSearch.h
@@ -6,7 +6,7 @@
 
 namespace lovagerock::placement {
 
-// What a gang needs to be placed.
+// The requirements of a gang on its placement.
 struct GangNeed
 {
   // Never zero in all components.
--- a/src/placement/PlannerState.h
+++ b/src/placement/PlannerState.h
@@ -51,7 +51,7 @@
   Duration mNextQuarantine{ 60'000 };
 };
 
-// What the planner keeps from plan to plan. A planner that takes over starts with an empty one.
+// The planner's state between plans. A planner that takes over starts with an empty state.
 class PlannerState
 {
 public:
--- a/src/retention/Deletion.h
+++ b/src/retention/Deletion.h
@@ -6,7 +6,7 @@
 
 namespace lovagerock::retention {
 
-// What an expired key holds.
+// The kind of data under an expired key.
 enum class DeletionKind
 {
   Claim,
--- a/src/retention/SweepReport.h
+++ b/src/retention/SweepReport.h
@@ -7,7 +7,7 @@
 
 namespace lovagerock::retention {
 
-// What one run of the sweeper did.
+// The counts and the outcome of one run of the sweeper.
 struct SweepReport
 {
   // Key names and entries that were read.
--- a/src/retention/SweeperSettings.h
+++ b/src/retention/SweeperSettings.h
@@ -4,7 +4,7 @@
 
 namespace lovagerock::retention {
 
-// How long keys are retained and how fast expired ones are deleted. Durations are in milliseconds.
+// Retention times of keys, and the timing of the sweeper's runs. Durations are in milliseconds.
 struct SweeperSettings
 {
   Duration mClaimRetention{ std::chrono::hours(24) };
--- a/src/routing/ClaimResolver.h
+++ b/src/routing/ClaimResolver.h
@@ -10,7 +10,7 @@
 
 namespace lovagerock::routing {
 
-// What the holder of a claim reports about the claim's request.
+// The result of a query to the holder of a claim for the outcome of the claim's request.
 enum class HolderStatus
 {
   // The request has ended; its whole response is included.
--- a/src/scheduler/Fleet.h
+++ b/src/scheduler/Fleet.h
@@ -30,7 +30,7 @@
   // The worker's clock when it last confirmed or reported this run. Only later reports that lack
   // the run count as missed.
   WorkerClock mLastConfirmedClock;
-  // How many later reports in a row lacked the run.
+  // The number of later reports in a row that lacked the run.
   int mMissedReports = 0;
   // When the last order for the run was issued; unset if none was, or if a stop has to be sent at
   // once.
--- a/src/scheduler/Orders.h
+++ b/src/scheduler/Orders.h
@@ -41,7 +41,7 @@
 };
 
 // The highest FinishedRun::mNumber of a worker that was processed. Once the progress of the same
-// batch is stored, the worker may forget its ended runs up to this number.
+// batch is stored, the worker may drop its ended runs up to this number.
 struct ProcessedEnds
 {
   WorkerId mWorker;
@@ -57,7 +57,7 @@
   std::vector<WorkerContact> mWorkers;
 };
 
-// Writes to the store that belong together, and the ended runs that workers may forget once they
+// Writes to the store that belong together, and the ended runs that workers may drop once they
 // are stored. The racks have to be written after the progress: a worker is left out of its rack's
 // record only if stored progress names all runs that were started there.
 struct ProgressBatch
--- a/src/scheduler/Placer.h
+++ b/src/scheduler/Placer.h
@@ -72,7 +72,7 @@
     // The numbers of the worker's rack and service, in the order of their first worker.
     int mRack = 0;
     int mService = 0;
-    // How many tasks of the request fit.
+    // The number of tasks of the request that fit.
     int mCopies = 0;
   };
   using Group = std::vector<Candidate>;
--- a/src/scheduler/Scheduler.h
+++ b/src/scheduler/Scheduler.h
@@ -178,7 +178,7 @@
 
   // Removes the runs of workers whose lease has expired, and those workers that aren't registered.
   void ExpireLeases(const CurrentTime& aNow);
-  // Allows the start of inherited work once no earlier scheduler can still be obeyed.
+  // Settles the takeover once all workers reject an earlier scheduler's orders or its leases end.
   void UpdateTakeoverSettled(const CurrentTime& aNow);
   void SettleTakeover();
   void StopUnwanted(const CurrentTime& aNow);
@@ -206,7 +206,7 @@
   // Places independent tasks, as many as fit, and evicts runs for the rest.
   void PlaceEach(const DueStep& aDue, PlacementRequest& aRequest, Placer& aPlacer,
                  const CurrentTime& aNow, Orders& aOrders);
-  // For a gang that has waited for mGatherAfter, keeps other work off a set of workers that can
+  // For a gang that has waited for mGatherAfter, reserves the free resources of workers that can
   // hold it, so that their resources accumulate until it fits.
   void GatherCapacity(const DueStep& aDue, const PlacementRequest& aRequest, Placer& aPlacer,
                       const CurrentTime& aNow);
--- a/src/scheduler/SchedulerPlan.cpp
+++ b/src/scheduler/SchedulerPlan.cpp
@@ -17,7 +17,7 @@
 // A run that saves checkpoints loses at most the work of this time when it is stopped.
 constexpr Duration kMaxCheckpointInterval{ 500 };
 
-// How urgent a job is, by its account's guarantee and its expected end. DueSteps() places Entitled
+// The urgency of a job, by its account's guarantee and its expected end. DueSteps() places Entitled
 // jobs first and Worthless ones last. Between these, the queue's priority comes before the class,
 // and the objective decides last.
 enum PlanClass : int
--- a/src/scheduler/SchedulerSettings.h
+++ b/src/scheduler/SchedulerSettings.h
@@ -7,11 +7,11 @@
 // Durations and limits of the scheduler. Durations are in milliseconds.
 struct SchedulerSettings
 {
-  // How long a worker's lease lasts after a renewal, on the worker's clock.
+  // Duration of a worker's lease after a renewal, on the worker's clock.
   Duration mLeaseDuration{ 6000 };
   // By how many percent a worker's clock may run slower than this process's clock.
   int mClockDriftPercent = 2;
-  // How long a scheduler may keep working without an answer from the store. A scheduler that takes
+  // Time a scheduler may keep working without an answer from the store. A scheduler that takes
   // over assumes that the earlier one may renew worker leases for this long after the takeover.
   Duration mStoreOutageTolerance{ 7000 };
   // A start order without an answer is sent again after this time.
@@ -20,7 +20,7 @@
   int mMaxUnansweredStarts = 3;
   // A stop order without an answer is sent again after this time.
   Duration mResendStopAfter{ 500 };
-  // How long a worker gets no new runs after it lacked the resources for a start, or after a start
+  // Time without new runs on a worker after it lacked the resources for a start, or after a start
   // order could not be sent or had no answer.
   Duration mInsufficientResourcesPause{ 300 };
   // The same after it refused a start as unhealthy, or rejected it as invalid.
@@ -30,15 +30,15 @@
   // The number of failed runs in a row, of several jobs, after which a worker counts as failing;
   // see Worker::mConsecutiveFailures.
   int mFailingThreshold = 2;
-  // How long a draining worker stays at least if it doesn't report its remaining time.
+  // Minimum time until a draining worker leaves if it doesn't report its remaining time.
   Duration mMinDrainTime{ 2000 };
   // Once a gang has waited this long, the scheduler keeps resources free for it as they become
   // available (see Placer::Gather), for at most mMaxGatheringSteps gangs at once.
   Duration mGatherAfter{ 1000 };
   int mMaxGatheringSteps = 2;
-  // How long resources stay reserved for a step for which other runs are being evicted.
+  // Time for which resources stay reserved for a step for which other runs are being evicted.
   Duration mReservationDuration{ 1500 };
-  // How long the records of a job are kept after its end.
+  // Time for which the records of a job are kept after its end.
   Duration mFinishedRetention{ 180000 };
 };
 
--- a/src/scheduler/WorkerReport.h
+++ b/src/scheduler/WorkerReport.h
@@ -34,7 +34,7 @@
   Duration mRemainingTime{ 0 };
 };
 
-// How a run ended.
+// The outcome of an ended run.
 enum class RunEnd
 {
   Done,
--- a/src/workers/WorkerMonitor.h
+++ b/src/workers/WorkerMonitor.h
@@ -23,7 +23,7 @@
 // Delays, timeouts and limits of the polls.
 struct MonitorSettings
 {
-  // How long a worker holds a poll while its state is unchanged. An error after this time means
+  // Time a worker holds a poll while its state is unchanged. An error after this time means
   // that the poll timed out, and makes the worker suspected at once.
   Duration mPollWait{ 2000 };
   // Delay between an answer and the next poll, so that one poll covers a burst of changes.
@@ -41,7 +41,7 @@
   // because part of the time for detecting an unresponsive worker has passed then. A responsive
   // worker answers this poll at once.
   Duration mResumePollWait{ 600 };
-  // How long a node keeps polling a worker after another node became its owner, because the nodes
+  // Time a node keeps polling a worker after another node became its owner, because the nodes
   // need not learn of a change of members at the same time.
   Duration mHandoverOverlap{ 3000 };
   // Other nodes may rely on this node's polls if none was started longer ago than this. Must exceed
@@ -242,7 +242,7 @@
     WorkerView mView;
     std::uint64_t mSince = 0;
     TimePoint mPollStarted;
-    // How long the worker may hold the latest poll.
+    // The longest time that the worker may hold the latest poll.
     Duration mPollWait{ 0 };
     // This node polls the worker for all nodes of the region.
     bool mOwned = true;
--- a/src/workers/WorkerView.h
+++ b/src/workers/WorkerView.h
@@ -17,7 +17,7 @@
   Leaving,
 };
 
-// What this node knows of a worker.
+// The state and health of a worker as seen by this node.
 struct WorkerView
 {
   SocketAddress mAddress;
--- a/tests/control/FakeStore.h
+++ b/tests/control/FakeStore.h
@@ -183,7 +183,7 @@
   }
 
   bool mIsDown = false;
-  // How many of the next writes report OutcomeUnknown: those that are applied only by
+  // Numbers of upcoming writes that report OutcomeUnknown: those that are applied only by
   // ApplyDelayedWrites(), and those that are applied at once.
   int mWritesToDelay = 0;
   int mLoseAnswers = 0;
